--- a/crates/consensus/src/liveness.rs
+++ b/crates/consensus/src/liveness.rs
@@ -7,15 +7,15 @@
 use topazmount_types::Time;
 
 impl RaftMember {
-    /// Whether this member may answer reads on its own word: it has the lease, and has applied an
-    /// entry of its term. What earlier leaders acknowledged would be missing in a read that is
-    /// answered between the commit of that entry and its application.
+    /// Whether this member may answer reads on its own word: it has the lease, and has applied an entry of
+    /// its term. What earlier leaders acknowledged would be missing in a read that is answered between the
+    /// commit of that entry and its application.
     pub fn can_serve_reads(&self, now: Time) -> bool {
         self.has_lease(now) && self.applied() >= self.term_start
     }
 
-    /// Whether this member may give orders on its own word: it leads, an entry of its term is
-    /// committed (thesis §6.4) and a quorum answered within the lease.
+    /// Whether this member may give orders on its own word: it leads, an entry of its term is committed
+    /// (thesis §6.4) and a quorum answered within the lease.
     pub fn has_lease(&self, now: Time) -> bool {
         let is_serving = self.role == Role::Leader && self.transfer_until.is_none();
         if !is_serving || self.commit < self.term_start {
@@ -24,10 +24,9 @@
         self.quorum_acknowledged_at().is_some_and(|at| now < at + self.config.lease)
     }
 
-    /// Whether this member leads with a lease, or follows a leader that vouched for its commit
-    /// position after this member's reply of less than two election timeouts ago. Counted from the
-    /// arrival of appends instead, a follower that wakes up would take those that waited in its
-    /// sockets for fresh word.
+    /// Whether this member leads with a lease, or follows a leader that vouched for its commit position after this
+    /// member's reply of less than two election timeouts ago. Counted from the arrival of appends instead, a follower
+    /// that wakes up would take those that waited in its sockets for fresh word.
     pub fn has_confirmed_leader(&self, now: Time) -> bool {
         let limit = self.config.election_timeout * 2;
         let is_fresh = self.echoed_at.is_some_and(|at| now < at + limit);
@@ -42,8 +41,7 @@
         self.echoed_at = self.echoed_at.max(own.map(|timestamp| timestamp.sent_at));
     }
 
-    /// Whether the newest reply of each other member to this leader was marked, which the first
-    /// builds do not do.
+    /// Whether the newest reply of each other member to this leader was marked, which the first builds do not do.
     pub fn do_all_replies_have_timestamps(&self) -> bool {
         let has_marked = |id: &MemberId| {
             self.progress.get(id).is_some_and(|progress| progress.last_reply.is_some())
@@ -53,18 +51,16 @@
         others.all(|id| *id == self.id || has_marked(id))
     }
 
-    /// Whether this leader's commit position has all that was acknowledged until an election
-    /// timeout ago: an entry of its term is committed, and a quorum answered what it sent within
-    /// two election timeouts.
+    /// Whether this leader's commit position has all that was acknowledged until an election timeout ago: an entry of
+    /// its term is committed, and a quorum answered what it sent within two election timeouts.
     pub(crate) fn can_vouch(&self) -> bool {
         let limit = self.config.election_timeout * 2;
         let is_answered = self.quorum_acknowledged_at().is_some_and(|at| self.now < at + limit);
         self.commit >= self.term_start && is_answered
     }
 
-    /// Whether this member is in contact and has applied all that its leaders said to have
-    /// committed. Unlike [`RaftMember::has_confirmed_leader`] it excludes a follower that hears the
-    /// leader and still lacks entries.
+    /// Whether this member is in contact and has applied all that its leaders said to have committed. Unlike
+    /// [`RaftMember::has_confirmed_leader`] it excludes a follower that hears the leader and still lacks entries.
     pub fn is_up_to_date(&self, now: Time) -> bool {
         let has_all = self.role == Role::Leader || self.applied() >= self.leader_commit;
         has_all && self.has_confirmed_leader(now)
@@ -78,8 +74,8 @@
         self.leader_heard_at.map_or(Duration::MAX, |at| now.since(at))
     }
 
-    /// How long a member has not answered this leader; where it never did, counted from when the
-    /// leader began to send to it.
+    /// How long a member has not answered this leader; where it never did, counted from when the leader
+    /// began to send to it.
     pub fn time_since_reply(&self, id: MemberId, now: Time) -> Duration {
         if id == self.id {
             return Duration::ZERO;
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -63,8 +63,7 @@
     pub(crate) leader_heard_at: Option<Time>,
     /// Marks the replies of this process.
     pub(crate) incarnation: u64,
-    /// Newest own reply that came back with an append of a leader that could vouch for its commit
-    /// position.
+    /// Newest own reply that came back with an append of a leader that could vouch for its commit position.
     pub(crate) echoed_at: Option<Time>,
     /// Newest commit position that a leader told.
     pub(crate) leader_commit: Index,
@@ -86,8 +85,8 @@
 }
 
 impl RaftMember {
-    /// A member that starts from what its disk holds. `seed` draws the election timeouts and marks
-    /// the replies; each start of a process needs another one.
+    /// A member that starts from what its disk holds. `seed` draws the election timeouts and marks the replies; each
+    /// start of a process needs another one.
     pub fn new(
         id: MemberId,
         config: Config,
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -32,9 +32,9 @@
     pub voters: BTreeMap<MemberId, MemberInfo>,
     /// Members that receive the log and do not count.
     pub learners: BTreeMap<MemberId, MemberInfo>,
-    /// Voters that the group is meant to have: as many as it had when all of them had answered for
-    /// a while. 0 where it is not known: in a group that has not settled yet, since others may be
-    /// about to join its founders, and in state that older versions wrote.
+    /// Voters that the group is meant to have: as many as it had when all of them had answered for a
+    /// while. 0 where it is not known: in a group that has not settled yet, since others may be about to
+    /// join its founders, and in state that older versions wrote.
     #[serde(rename = "full_size", default, skip_serializing_if = "is_unknown")]
     pub target_size: usize,
 }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -19,9 +19,8 @@
     pub message: Message,
 }
 
-/// When a follower replied, by its own clock. A leader returns it with its next append, by which
-/// the follower knows how old that append is at most. The moment of arrival does not tell: appends
-/// wait in the sockets of a suspended machine.
+/// When a follower replied, by its own clock. A leader returns it with its next append, by which the follower knows how
+/// old that append is at most. The moment of arrival does not tell: appends wait in the sockets of a suspended machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplyTimestamp {
     /// Process that last_reply: the clock of another one may differ.
@@ -73,8 +72,7 @@
         commit: Index,
         /// Leader's clock at sending, echoed in the reply to measure the lease from.
         sent_at: Time,
-        /// Newest reply of the receiver that the leader had; none where the leader can't vouch for
-        /// its commit position.
+        /// Newest reply of the receiver that the leader had; none where the leader can't vouch for its commit position.
         #[serde(rename = "returned", default)]
         echoed: Option<ReplyTimestamp>,
     },
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -151,8 +151,8 @@
         assert!(holders.count() <= 1, "two members hold the lease");
     }
 
-    /// A read that is answered between a message and the work that it makes: who may answer it by
-    /// its lease has applied all that anybody applied, and so all that was acknowledged.
+    /// A read that is answered between a message and the work that it makes: who may answer it by its
+    /// lease has applied all that anybody applied, and so all that was acknowledged.
     fn check_reads(&self) {
         let newest = self.peers.values().filter_map(|peer| peer.applied.keys().next_back()).max();
         let holders = self.peers.values().filter(|peer| peer.replica.can_serve_reads(self.now));
--- a/crates/consensus/tests/group.rs
+++ b/crates/consensus/tests/group.rs
@@ -39,9 +39,9 @@
     assert_eq!(network.peers[&old].applied, network.peers[&others[0]].applied);
 }
 
-/// From a soak of real processes (seed 359): a leader ended right after it had acknowledged a
-/// change. The next one learned in one batch that the change was committed and that it may answer
-/// reads, and answered one before it had applied the change.
+/// From a soak of real processes (seed 359): a leader ended right after it had acknowledged a change. The
+/// next one learned in one batch that the change was committed and that it may answer reads, and answered
+/// one before it had applied the change.
 #[test]
 fn a_new_leader_reads_nothing_older_than_the_last_one_acknowledged() {
     let mut network = Network::new(&[1, 2, 3, 4, 5]);
@@ -206,9 +206,8 @@
     assert_eq!(network.peers[&leader].replica.term(), term);
 }
 
-/// Random restarts, cuts of one way or both, and proposals. The network checks in each tick that no
-/// two members hold the lease and that no term has two leaders; what was applied is the same
-/// everywhere.
+/// Random restarts, cuts of one way or both, and proposals. The network checks in each tick that no two members
+/// hold the lease and that no term has two leaders; what was applied is the same everywhere.
 #[test]
 fn no_schedule_of_restarts_and_cuts_makes_two_holders() {
     const IDS: [u64; 5] = [1, 2, 3, 4, 5];
--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -69,8 +69,8 @@
 error_kinds! {
     /// The request is malformed: bad JSON, wrong types, missing or absurd values.
     InvalidRequest => "invalid_request", 400, NotRun, None, 2;
-    /// Replicas crashed under this request again and again; it is not sent to another one, and a
-    /// further try is of no use.
+    /// Replicas crashed under this request again and again; it is not sent to another one, and a further try
+    /// is of no use.
     CrashesReplicas => "crashes_replicas", 400, NotRun, None, 1;
     /// The API key is missing or unknown.
     Unauthenticated => "unauthenticated", 401, NotRun, None, 2;
--- a/crates/types/src/identifier.rs
+++ b/crates/types/src/identifier.rs
@@ -134,8 +134,8 @@
     }
 }
 
-/// What makes two tries the same request: who asks, for what, with which body. Identifiers that a
-/// caller draws anew for each try don't count.
+/// What makes two tries the same request: who asks, for what, with which body. Identifiers that a caller
+/// draws anew for each try don't count.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/types/src/instance.rs
+++ b/crates/types/src/instance.rs
@@ -4,13 +4,11 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Identifier of a replica. One that starts again may keep it; its [`Start`] tells its incarnations
-/// apart.
+/// Identifier of a replica. One that starts again may keep it; its [`Start`] tells its incarnations apart.
 pub type InstanceId = String;
 
-/// When an incarnation of a replica started, as the replica says: milliseconds of Unix time, by its
-/// own clock. Compared with other starts under the same identifier, and with a clock of ours only
-/// where nothing else tells who said something.
+/// When an incarnation of a replica started, as the replica says: milliseconds of Unix time, by its own clock. Compared
+/// with other starts under the same identifier, and with a clock of ours only where nothing else tells who said something.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,8 +18,7 @@
     /// Of a replica that does not say when it started.
     pub const UNKNOWN: Start = Start(0);
 
-    /// The same moment by a process's clock, whose origin is Unix time's; what clocks are apart
-    /// comes in addition.
+    /// The same moment by a process's clock, whose origin is Unix time's; what clocks are apart comes in addition.
     pub fn as_time(self) -> Time {
         Time::from_millis(self.0.min(u64::MAX / 1_000))
     }
@@ -65,8 +62,8 @@
     }
 }
 
-/// Name that tells an incarnation from all others under its identifier; the identifier alone where
-/// no start is said. A `#` is in no identifier, since these come as part of a request's target.
+/// Name that tells an incarnation from all others under its identifier; the identifier alone where no start is said. A
+/// `#` is in no identifier, since these come as part of a request's target.
 pub fn incarnation_name(id: &str, start: Start) -> String {
     match start {
         Start::UNKNOWN => id.to_owned(),
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -3,9 +3,8 @@
 use crate::FrameError;
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Encodes one value with the names of its fields, so that a process of another version passes over
-/// those that it does not know. Fields without names are read too: that is how versions before sent
-/// them, and how datagrams are sent.
+/// Encodes one value with the names of its fields, so that a process of another version passes over those that it does not
+/// know. Fields without names are read too: that is how versions before sent them, and how datagrams are sent.
 ///
 /// # Errors
 /// [`FrameError::Payload`] when the value can't be represented.
@@ -13,8 +12,8 @@
     rmp_serde::to_vec_named(value).map_err(|error| FrameError::Payload(error.to_string()))
 }
 
-/// Encodes one value for a datagram, whose size is bounded: without the names of its fields. A
-/// process that does not know one of them passes over the whole datagram, which may be lost anyway.
+/// Encodes one value for a datagram, whose size is bounded: without the names of its fields. A process that does not know one of
+/// them passes over the whole datagram, which may be lost anyway.
 ///
 /// # Errors
 /// [`FrameError::Payload`] when the value can't be represented.
--- a/crates/wire/src/compression.rs
+++ b/crates/wire/src/compression.rs
@@ -1,8 +1,7 @@
 //! Compression of large payloads.
 //!
-//! Lists of replicas and gateways repeat their services, zones and the begins of addresses. After a
-//! loss of all power each gateway is sent the whole list: of 3,005 replicas, to 300 gateways, half
-//! of them behind a link of 60 Mbit/s.
+//! Lists of replicas and gateways repeat their services, zones and the begins of addresses. After a loss of all power each
+//! gateway is sent the whole list: of 3,005 replicas, to 300 gateways, half of them behind a link of 60 Mbit/s.
 
 use crate::session::{FrameError, MAX_FRAME};
 use flate2::Compression;
@@ -37,8 +36,7 @@
 /// Unpacks a payload.
 ///
 /// # Errors
-/// [`FrameError::Payload`] when it was not packed by [`pack`], or would be larger than any that is
-/// sent.
+/// [`FrameError::Payload`] when it was not packed by [`pack`], or would be larger than any that is sent.
 pub fn decompress(packed: &[u8]) -> Result<Vec<u8>, FrameError> {
     let Some((kind, rest)) = packed.split_first() else {
         return Err(FrameError::Payload("it is empty".to_owned()));
--- a/crates/wire/src/session.rs
+++ b/crates/wire/src/session.rs
@@ -5,8 +5,7 @@
 /// ProtocolVersion of what is said on a connection. Both sides speak the newest that both know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProtocolVersion {
-    /// Payloads have the types of the first builds, without the names of their fields, and are
-    /// never deflated.
+    /// Payloads have the types of the first builds, without the names of their fields, and are never deflated.
     Legacy,
     /// Payloads have fields with their names; large ones are deflated.
     Named,
--- a/crates/wire/tests/compression.rs
+++ b/crates/wire/tests/compression.rs
@@ -3,8 +3,7 @@
 use proptest::prelude::*;
 use topazmount_wire::{MAX_FRAME, compress, decompress};
 
-/// A list as control tells it: 3,000 replicas whose identifiers and addresses differ in a few
-/// letters.
+/// A list as control tells it: 3,000 replicas whose identifiers and addresses differ in a few letters.
 fn list() -> Vec<u8> {
     let line = |number: u32| {
         let id = number.wrapping_mul(2_654_435_761);
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -113,8 +113,7 @@
     }
 }
 
-/// A message of an older version, and the same one with a field more in the middle of it and in
-/// what it lists.
+/// A message of an older version, and the same one with a field more in the middle of it and in what it lists.
 mod versions {
     use serde::{Deserialize, Serialize};
 
@@ -163,10 +162,9 @@
     }
 }
 
-/// Two versions run side by side during an upgrade. A newer one's message had a field more, which
-/// an older one refused as a whole ("array had incorrect length, expected 3"): members of two
-/// versions could not form a group. With names of fields the older one passes over what it does not
-/// know, and the newer one takes the default for what it is not told.
+/// Two versions run side by side during an upgrade. A newer one's message had a field more, which an older one refused as a whole
+/// ("array had incorrect length, expected 3"): members of two versions could not form a group. With names of fields the older one passes over what
+/// it does not know, and the newer one takes the default for what it is not told.
 #[test]
 fn a_field_more_or_less_is_passed_over() {
     use versions::*;
