--- a/crates/routing/src/program.rs
+++ b/crates/routing/src/program.rs
@@ -157,7 +157,7 @@
     /// Index of the candidate with the lowest score; the first one of equals.
     ///
     /// # Errors
-    /// Why the program's word can't be used, also when there are no candidates.
+    /// Why the result can't be used; also when there are no candidates.
     pub fn choose(
         &self,
         request: &RouteRequest<'_>,
