--- a/crates/topazmount/src/fleet/mod.rs
+++ b/crates/topazmount/src/fleet/mod.rs
@@ -34,5 +34,6 @@
 pub use foreign_log::ForeignLines;
 pub use gateway::{Gateway, GatewayOptions};
 pub use metrics::{METRICS_PATH, Metrics};
+pub use peers::Message as GatewayMessage;
 pub use process::{run_control, run_gateway};
 pub use settings::{Bounds, CacheBelief, FleetPolicy, FleetSettings, KeptConnections, Listen};
--- a/crates/topazmount/src/fleet/peers.rs
+++ b/crates/topazmount/src/fleet/peers.rs
@@ -21,7 +21,7 @@
 
 /// What a gateway tells another one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-enum Message {
+pub enum Message {
     /// Its work at a replica.
     Load(LoadNews),
     /// A question to a coordinator, by its number.
--- /dev/null
+++ b/crates/topazmount/tests/gateway_datagrams.rs
@@ -0,0 +1,121 @@
+//! Datagrams between gateways keep their recorded bytes, so that gateways of different builds
+//! understand each other.
+
+use std::time::Duration;
+use topazmount::fleet::GatewayMessage;
+use topazmount_admission::RequestLimit;
+use topazmount_gateway::{
+    ChoiceQuestion, GrantAnswer, LimitNews, LoadNews, Offer, PromptEvent, Shard, StripeId,
+};
+use topazmount_wire::{decode_payload, encode_datagram};
+
+/// One message a line: its name and its bytes in hex.
+const RECORDED: &str = include_str!("gateway_datagrams.txt");
+
+fn load(event: PromptEvent) -> GatewayMessage {
+    GatewayMessage::Load(LoadNews {
+        node: 0x0102_0304_0506_0708,
+        replica: 0x1112_1314_1516_1718,
+        pending_prefill: 70_000,
+        in_flight: 3,
+        version: 12,
+        parts: vec![1, 0xffff_ffff_ffff_ffff],
+        event,
+    })
+}
+
+fn question() -> ChoiceQuestion {
+    ChoiceQuestion {
+        shard: Shard { index: 3, count: 8 },
+        service: "pool".to_owned(),
+        tenant: 77,
+        parts: vec![(1, 2_500), (2, 100)],
+        prompt_tokens: 2_600,
+        output_tokens: 200,
+        model: Some("model".to_owned()),
+        namespace: 9,
+        wall: Some("tenant".to_owned()),
+        exclude: vec![5, 6],
+    }
+}
+
+fn offer() -> Offer {
+    Offer {
+        replica: 5,
+        expected_prefill: 600,
+        known_tokens: 2_000,
+        estimate_ms: 81.5,
+        policy: 1,
+        home_rank: 2,
+        is_clear: true,
+        taken_share: 0.25,
+        version: Some(12),
+        source: Some("10.0.0.1:80".to_owned()),
+        save_to: Some("10.0.0.2:80".to_owned()),
+    }
+}
+
+fn limit(limit: Option<f64>) -> LimitNews {
+    LimitNews {
+        replica: 5,
+        limit: limit.map(RequestLimit::per_second),
+        age: Duration::from_millis(1_250),
+    }
+}
+
+fn samples() -> Vec<(&'static str, GatewayMessage)> {
+    let stripe = StripeId { owner: 77, stripe: 2 };
+    let without = ChoiceQuestion { model: None, wall: None, exclude: Vec::new(), ..question() };
+    let bare = Offer { version: None, source: None, save_to: None, is_clear: false, ..offer() };
+    vec![
+        ("load_sent", load(PromptEvent::Sent)),
+        ("load_read", load(PromptEvent::Read)),
+        ("load_ended", load(PromptEvent::Ended)),
+        ("load_failed", load(PromptEvent::Failed)),
+        ("question", GatewayMessage::Question(300, question())),
+        ("question_without_options", GatewayMessage::Question(300, without)),
+        ("answer", GatewayMessage::Answer(300, Some(offer()))),
+        ("answer_without_options", GatewayMessage::Answer(300, Some(bare))),
+        ("answer_none", GatewayMessage::Answer(300, None)),
+        ("grant", GatewayMessage::Grant(301, stripe, 900)),
+        ("granted", GatewayMessage::Granted(301, GrantAnswer::Granted)),
+        ("granted_over", GatewayMessage::Granted(301, GrantAnswer::Over(Duration::new(2, 500)))),
+        ("granted_not_holder", GatewayMessage::Granted(301, GrantAnswer::NotHolder)),
+        ("give_back", GatewayMessage::GiveBack(stripe, 900)),
+        ("limit", GatewayMessage::Limit(limit(Some(2.5)))),
+        ("limit_none", GatewayMessage::Limit(limit(None))),
+        ("grant_send", GatewayMessage::GrantSend(302, limit(Some(2.5)))),
+    ]
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let digits: Vec<char> = hex.chars().collect();
+    let byte = |pair: &[char]| u8::from_str_radix(&String::from_iter(pair), 16).unwrap();
+    digits.chunks(2).map(byte).collect()
+}
+
+#[test]
+fn encoded_messages_equal_the_recorded_bytes() {
+    let encoded: Vec<String> = samples()
+        .iter()
+        .map(|(name, message)| format!("{name} {}", hex(&encode_datagram(message).unwrap())))
+        .collect();
+    let recorded: Vec<&str> = RECORDED.lines().collect();
+    assert_eq!(encoded, recorded, "\n{}\n", encoded.join("\n"));
+}
+
+#[test]
+fn recorded_bytes_decode_to_the_same_messages() {
+    let samples = samples();
+    assert_eq!(RECORDED.lines().count(), samples.len());
+    for (line, (name, message)) in RECORDED.lines().zip(samples) {
+        let (recorded_name, hex) = line.split_once(' ').unwrap();
+        assert_eq!(recorded_name, name);
+        let decoded: GatewayMessage = decode_payload(&bytes(hex)).unwrap();
+        assert_eq!(format!("{decoded:?}"), format!("{message:?}"), "{name}");
+    }
+}
