--- a/crates/topazmount/src/fleet/exchange/mod.rs
+++ b/crates/topazmount/src/fleet/exchange/mod.rs
@@ -19,6 +19,7 @@
 use crate::http1::{BodyReader, RequestHead, ResponseHead, Wire};
 use async_net::TcpStream;
 use limit::Grant;
+use record::attempt_end_label;
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -313,7 +314,7 @@
                 Attempt::Ended(end) => end,
             };
             self.note_failure(&in_flight, end);
-            self.log_attempt(&in_flight.choice, &format!("{end:?}"));
+            self.log_attempt(&in_flight.choice, attempt_end_label(end));
             if end == AttemptEnd::Broken {
                 self.look_for_crash(&in_flight.choice, began).await;
             }
--- a/crates/topazmount/src/fleet/exchange/record.rs
+++ b/crates/topazmount/src/fleet/exchange/record.rs
@@ -205,3 +205,21 @@
         });
     }
 }
+
+/// Label of an attempt's end in logs and metrics.
+pub(super) fn attempt_end_label(end: AttemptEnd) -> &'static str {
+    match end {
+        AttemptEnd::Unreachable => "Unreachable",
+        AttemptEnd::NotRun => "NotRun",
+        AttemptEnd::TurnedAway => "TurnedAway",
+        AttemptEnd::HeldBack => "HeldBack",
+        AttemptEnd::WrongInstance => "WrongInstance",
+        AttemptEnd::OtherWeights => "OtherWeights",
+        AttemptEnd::OldWeights => "OldWeights",
+        AttemptEnd::Broken => "Broken",
+        AttemptEnd::Failed => "Failed",
+        AttemptEnd::Silent => "Silent",
+        AttemptEnd::Abandoned => "Abandoned",
+        AttemptEnd::TimedOut => "TimedOut",
+    }
+}
--- a/crates/topazmount/src/fleet/exchange/resume.rs
+++ b/crates/topazmount/src/fleet/exchange/resume.rs
@@ -3,6 +3,7 @@
 //! Silence alone does not tell a lost replica from one that reads a long prompt or loads weights: the
 //! stream is let go only once another replica has taken it.
 
+use super::record::attempt_end_label;
 use super::{Attempt, Exchange, InFlight, Progress, StreamBegin, StreamEnd, until};
 use crate::http1::BodyError;
 use std::pin::pin;
@@ -90,7 +91,7 @@
             Beside::Own(held) => Resumed::Here(held),
             Beside::Refused(held, end) => {
                 self.note_failure(&in_flight, end);
-                self.log_attempt(&in_flight.choice, &format!("{end:?}"));
+                self.log_attempt(&in_flight.choice, attempt_end_label(end));
                 plan.end(end);
                 Resumed::Here(held)
             }
--- a/crates/topazmount/src/fleet/orders.rs
+++ b/crates/topazmount/src/fleet/orders.rs
@@ -57,13 +57,14 @@
                     Err(_) => OrderEnd::Unknown,
                 };
                 log::info!(
-                    "weights: event=order instance={} start={} model={} version={} fence={} sequence={} end={end:?}",
+                    "weights: event=order instance={} start={} model={} version={} fence={} sequence={} end={}",
                     order.instance,
                     order.start,
                     order.model,
                     order.version,
                     order.fence,
-                    order.expected_sequence
+                    order.expected_sequence,
+                    order_end_label(end)
                 );
                 let ended = OrderReport::Order(order.instance, order.start, end);
                 said.into_iter().chain([ended]).collect()
@@ -107,3 +108,15 @@
 async fn send(address: &str, req: HttpCall) -> Result<ClientAnswer> {
     Caller::new(address)?.call(req, MAX_ANSWER, LIMIT).await
 }
+
+/// Label of an order's end in logs.
+fn order_end_label(end: OrderEnd) -> &'static str {
+    match end {
+        OrderEnd::Accepted => "Accepted",
+        OrderEnd::Holds => "Holds",
+        OrderEnd::Conflict => "Conflict",
+        OrderEnd::Fenced => "Fenced",
+        OrderEnd::Refused => "Refused",
+        OrderEnd::Unknown => "Unknown",
+    }
+}
