--- a/crates/topazmount/src/fleet/answer.rs
+++ b/crates/topazmount/src/fleet/answer.rs
@@ -1,6 +1,6 @@
 //! Answers to clients of a gateway.
 
-use super::dialect::HttpAnswer;
+use super::dialect::HttpResponse;
 use crate::http1::{Headers, RequestHead, ResponseHead, answer_head, simple_answer};
 
 /// Fields that concern one connection only (RFC 9110, 7.6.1).
@@ -64,9 +64,9 @@
 }
 
 /// A whole answer of the process's own.
-pub(super) fn answer_bytes(answer: &HttpAnswer, keeps_alive: bool) -> Vec<u8> {
+pub(super) fn answer_bytes(answer: &HttpResponse, keeps_alive: bool) -> Vec<u8> {
     let mut fields: Vec<(&str, String)> =
-        answer.fields.iter().map(|(name, value)| (name.as_str(), value.clone())).collect();
+        answer.headers.iter().map(|(name, value)| (name.as_str(), value.clone())).collect();
     if let Some(content_type) = answer.content_type {
         fields.push(("Content-Type", content_type.to_owned()));
     }
@@ -74,7 +74,7 @@
 }
 
 /// The same as an answer to a request, which may want no body.
-pub(super) fn own_answer(answer: &HttpAnswer, head: &RequestHead, keeps_alive: bool) -> Vec<u8> {
+pub(super) fn own_answer(answer: &HttpResponse, head: &RequestHead, keeps_alive: bool) -> Vec<u8> {
     let mut bytes = answer_bytes(answer, keeps_alive);
     if head.method == "HEAD" {
         bytes.truncate(bytes.len() - answer.body.len());
--- a/crates/topazmount/src/fleet/caller.rs
+++ b/crates/topazmount/src/fleet/caller.rs
@@ -1,6 +1,6 @@
 //! Calls to replicas and stores, on a connection that is kept where both sides allow it.
 
-use super::dialect::HttpCall;
+use super::dialect::HttpRequest;
 use super::pool::ConnectionEnd;
 use crate::frames::within;
 use crate::http1::{
@@ -39,12 +39,12 @@
     /// When no whole answer comes within `limit`.
     pub(super) async fn call(
         &mut self,
-        req: HttpCall,
+        req: HttpRequest,
         most: usize,
         limit: Duration,
     ) -> Result<ClientAnswer> {
         let mut fields = vec![("Host".to_owned(), self.address.to_string().into_bytes())];
-        fields.extend(req.fields.into_iter().map(|(name, value)| (name, value.into_bytes())));
+        fields.extend(req.headers.into_iter().map(|(name, value)| (name, value.into_bytes())));
         let bytes = request_bytes(req.method, &req.target, &Headers(fields), &req.body);
         within(limit, async {
             if let Some(wire) = self.kept.take()
--- a/crates/topazmount/src/fleet/clients.rs
+++ b/crates/topazmount/src/fleet/clients.rs
@@ -1,7 +1,7 @@
 //! Clients' connections: requests in, each handed to its exchange, answers out.
 
 use super::answer::own_answer;
-use super::dialect::RequestTags;
+use super::dialect::RequestMetadata;
 use super::exchange::{Ending, Exchange};
 use super::gateway::Shared;
 use super::http_service::within;
@@ -85,7 +85,7 @@
     received: Time,
     keeps_alive: bool,
 ) -> Option<Ending> {
-    let tags = match shared.dialect.request(head) {
+    let tags = match shared.dialect.request_metadata(head) {
         Ok(tags) => tags,
         Err(problem) => {
             log::info!("gateway: event=refused problem={problem:?}");
@@ -99,7 +99,7 @@
         Err(ErrorKind::Draining)
     } else {
         let mut knowledge = shared.knowledge.lock().unwrap();
-        knowledge.admit(host, head.path(), tags.key.as_deref(), received)
+        knowledge.admit(host, head.path(), tags.api_key.as_deref(), received)
     };
     let admission = match admission {
         Ok(admission) => admission,
@@ -149,7 +149,7 @@
     RequestDigest(Digest::of_parts(&[parts[0], parts[1], parts[2], parts[3], body]).prefix())
 }
 
-fn log_refusal(shared: &Shared, tags: &RequestTags, host: &str, path: &str, kind: ErrorKind) {
+fn log_refusal(shared: &Shared, tags: &RequestMetadata, host: &str, path: &str, kind: ErrorKind) {
     shared.metrics.answer(kind.name(), Duration::ZERO);
     shared.journal.line(|| {
         let version = shared.knowledge.lock().unwrap().seen().document;
@@ -170,7 +170,7 @@
     kind: ErrorKind,
     keeps_alive: bool,
 ) -> Ending {
-    let answer = shared.dialect.refusal(kind, shared.retry_after(kind));
+    let answer = shared.dialect.error_response(kind, shared.retry_after(kind));
     match wire.write_all(&own_answer(&answer, head, keeps_alive)).await {
         Ok(()) => Ending::Whole,
         Err(_) => Ending::Cut,
@@ -180,7 +180,7 @@
 /// Answers a request that could not be read, and closes in a way that lets the client read that.
 async fn refuse(shared: &Shared, wire: &mut Wire, kind: ErrorKind) {
     shared.metrics.answer(kind.name(), Duration::ZERO);
-    let answer = shared.dialect.refusal(kind, None);
+    let answer = shared.dialect.error_response(kind, None);
     let head = RequestHead {
         method: String::new(),
         target: String::new(),
--- a/crates/topazmount/src/fleet/control_service.rs
+++ b/crates/topazmount/src/fleet/control_service.rs
@@ -1,8 +1,8 @@
 //! The control plane's calls: replicas, operators and clients that ask where to go.
 
-use super::dialect::{ControlCall, Dialect, HttpAnswer};
+use super::dialect::{ControlCall, Dialect, HttpResponse};
 use super::directory::Directory;
-use super::foreign_log::ForeignLog;
+use super::external_log::ExternalLog;
 use super::http_service::{self, Service};
 use super::metrics::{Metrics, MetricsService};
 use super::orders;
@@ -58,7 +58,7 @@
     /// Port at which all members answer replicas and operators.
     control_port: Option<u16>,
     metrics: Arc<Metrics>,
-    foreign: Arc<ForeignLog>,
+    foreign: Arc<ExternalLog>,
 }
 
 impl ControlPlane {
@@ -73,17 +73,17 @@
         let (actions_sender, actions) = async_channel::unbounded();
         let control_options = ControlOptions {
             settings: member_settings(&settings, internal)?,
-            form_group: settings.form_group && settings.seed_peers().contains(&internal),
+            form_group: settings.form_group && settings.seed_peer_addresses().contains(&internal),
             source: SourceFiles::default(),
             key: key.clone(),
-            rollout: settings.rollout(),
+            rollout: settings.rollout_settings(),
             actions: Some(actions_sender),
         };
         let handle = control_process::start(executor, control_options).await?;
         let member = handle.local();
         let directory = Directory::default();
         let metrics = Arc::new(Metrics::default());
-        let foreign = Arc::new(ForeignLog::new(metrics.clone()));
+        let foreign = Arc::new(ExternalLog::new(metrics.clone()));
         let calls = Arc::new(Calls {
             executor: executor.clone(),
             dialect: dialect.clone(),
@@ -117,7 +117,7 @@
 
     /// Takes changed settings into use: the seeds. Addresses and names stay until the next start.
     pub fn reload(&self, settings: &FleetSettings) {
-        self.handle.set_seeds(&settings.seed_peers());
+        self.handle.set_seeds(&settings.seed_peer_addresses());
         log::info!("control: event=reload seeds={:?}", settings.seeds);
     }
 
@@ -153,14 +153,14 @@
         data_folder,
         declarations: "none".into(),
         cluster_key_file: "none".into(),
-        initial_members: settings.seed_peers().into_iter().map(peer).collect(),
+        initial_members: settings.seed_peer_addresses().into_iter().map(peer).collect(),
     })
 }
 
 impl Service for Calls {
-    async fn answer(&self, head: RequestHead, body: Vec<u8>) -> HttpAnswer {
+    async fn answer(&self, head: RequestHead, body: Vec<u8>) -> HttpResponse {
         let began = Instant::now();
-        let call = self.dialect.control_call(&head, &body);
+        let call = self.dialect.parse_control_call(&head, &body);
         let name = call.name();
         let answer = self.take(call).await;
         self.metrics.call(name, answer.status, began.elapsed());
@@ -169,7 +169,7 @@
 }
 
 impl Calls {
-    async fn take(&self, call: ControlCall) -> HttpAnswer {
+    async fn take(&self, call: ControlCall) -> HttpResponse {
         match call {
             ControlCall::Heartbeat(report) => {
                 let id = report.instance.id.clone();
@@ -177,21 +177,21 @@
                 match answer {
                     Some((FleetResponse::Foreign(cause), _)) => {
                         self.foreign.note("heartbeat_foreign", &id, cause.name());
-                        self.dialect.plain_answer(409, cause.name())
+                        self.dialect.message_response(409, cause.name())
                     }
                     Some((FleetResponse::Superseded, leader)) => {
                         self.foreign.note("heartbeat_superseded", &id, "it left, or was replaced");
-                        self.dialect.heartbeat_answer(self.control_of(leader))
+                        self.dialect.heartbeat_response(self.control_of(leader))
                     }
-                    Some((_, leader)) => self.dialect.heartbeat_answer(self.control_of(leader)),
+                    Some((_, leader)) => self.dialect.heartbeat_response(self.control_of(leader)),
                     None => self.unavailable(),
                 }
             }
             ControlCall::Depart(id, start) => self.change(FleetRequest::Depart(id, start)).await,
-            ControlCall::Foreign { call, id, reason } => {
-                self.foreign.note(call.foreign_event(), &id, reason);
+            ControlCall::External { call, id, reason } => {
+                self.foreign.note(call.external_event(), &id, reason);
                 self.dialect
-                    .plain_answer(400, &format!("no {} of a replica: {reason}", call.name()))
+                    .message_response(400, &format!("no {} of a replica: {reason}", call.name()))
             }
             ControlCall::PutDocument(document) => {
                 let version = document.version;
@@ -202,32 +202,32 @@
                 );
                 answer
             }
-            ControlCall::NameWeights { model, version } => {
+            ControlCall::PublishWeights { model, version } => {
                 log::info!("control: event=weights_named model={model} version={version}");
                 self.change(FleetRequest::NameWeights { model, version }).await
             }
             ControlCall::ReadDocument => match self.ask(FleetRequest::ReadDocument).await {
                 Some((FleetResponse::Document(Some(document)), _)) => {
-                    self.dialect.document_answer(&document)
+                    self.dialect.document_response(&document)
                 }
                 Some((FleetResponse::Document(None), _)) => {
-                    self.dialect.plain_answer(503, "there is no configuration yet")
+                    self.dialect.message_response(503, "there is no configuration yet")
                 }
                 _ => self.unavailable(),
             },
             ControlCall::Resolve { zone, region } => {
                 let gateways = self.directory.resolve(&zone, &region);
                 if gateways.is_empty() {
-                    return self.dialect.plain_answer(503, "no gateway is known");
+                    return self.dialect.message_response(503, "no gateway is known");
                 }
-                self.dialect.directory_answer(&gateways, DIRECTORY_TTL)
+                self.dialect.directory_response(&gateways, DIRECTORY_TTL)
             }
-            ControlCall::Readiness => self.dialect.plain_answer(200, "ready"),
-            ControlCall::Unknown => self.dialect.plain_answer(404, "no such call"),
+            ControlCall::Readiness => self.dialect.message_response(200, "ready"),
+            ControlCall::Unknown => self.dialect.message_response(404, "no such call"),
             ControlCall::Malformed(problem) => {
                 let shown: String = problem.chars().take(SHOWN_PROBLEM).collect();
                 log::info!("control: event=refused problem={shown:?}");
-                self.dialect.plain_answer(400, &problem)
+                self.dialect.message_response(400, &problem)
             }
         }
     }
@@ -274,13 +274,13 @@
         }
     }
 
-    fn unavailable(&self) -> HttpAnswer {
-        self.dialect.plain_answer(503, "the control group can't answer now")
+    fn unavailable(&self) -> HttpResponse {
+        self.dialect.message_response(503, "the control group can't answer now")
     }
 
-    async fn change(&self, request: FleetRequest) -> HttpAnswer {
+    async fn change(&self, request: FleetRequest) -> HttpResponse {
         match self.ask(request).await {
-            Some(_) => self.dialect.plain_answer(200, "done"),
+            Some(_) => self.dialect.message_response(200, "done"),
             None => self.unavailable(),
         }
     }
--- a/crates/topazmount/src/fleet/dialect.rs
+++ b/crates/topazmount/src/fleet/dialect.rs
@@ -11,13 +11,13 @@
 
 /// What a client's request says of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RequestTags {
+pub struct RequestMetadata {
     /// The client's identifier of the request.
     pub id: String,
     /// How long the client waits.
     pub deadline: Option<Duration>,
     /// API key.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// Model.
     pub model: Option<String>,
     /// Prompt, for a language model.
@@ -25,16 +25,16 @@
     /// Tokens in and most tokens out, together, where it tells them.
     pub tokens: Option<u32>,
     /// Last event that the client has, when it resumes a stream.
-    pub last_event: Option<String>,
+    pub last_event_id: Option<String>,
 }
 
 /// What a gateway adds to a request that it sends to a replica.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Upstream {
+pub struct UpstreamMetadata {
     /// Replica that must serve it.
     pub instance: InstanceId,
     /// Time that is left.
-    pub time_left: Duration,
+    pub remaining_time: Duration,
     /// Tenant that holds the client's key.
     pub tenant: Option<String>,
     /// Name of the cache that the request may share; `None` for the common one.
@@ -46,14 +46,14 @@
     /// Store to which the replica sends the parts once they are read.
     pub save_to: Option<String>,
     /// Last event that must not come again.
-    pub last_event: Option<String>,
+    pub last_event_id: Option<String>,
     /// Rank, 0 is the most urgent.
     pub priority: Option<u32>,
 }
 
 /// What a replica's answer says of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerTags {
+pub struct ResponseMetadata {
     /// Identifier of the request that it answers.
     pub request_id: Option<String>,
     /// Whether it carries the replica's signature.
@@ -61,11 +61,11 @@
     /// Whether it says that the request was not run.
     pub is_not_run: bool,
     /// Whether it says that it is not the replica, or does not hold the version, that was expected.
-    pub is_unexpected: bool,
+    pub is_misdirected: bool,
     /// Replica that answered, where it says so.
     pub instance: Option<InstanceId>,
     /// Version of the weights that it was made with.
-    pub version: Option<u32>,
+    pub weights_version: Option<u32>,
     /// What it asks of its caller.
     pub pushback: Pushback,
     /// Whether its body is encoded, which no client asked for.
@@ -80,7 +80,7 @@
     /// A replica leaves; its incarnation.
     Depart(InstanceId, Start),
     /// Said in a replica's name by another writer, who names nothing to use: it changes nothing.
-    Foreign {
+    External {
         /// What it was sent as.
         call: ReplicaCall,
         /// Identifier under which it came, of any length and any characters.
@@ -93,7 +93,7 @@
     /// The newest catalog.
     ReadDocument,
     /// A version of a model's weights.
-    NameWeights {
+    PublishWeights {
         /// Model.
         model: String,
         /// Version.
@@ -120,10 +120,10 @@
         match self {
             ControlCall::Heartbeat(_) => ReplicaCall::Heartbeat.name(),
             ControlCall::Depart(..) => ReplicaCall::Depart.name(),
-            ControlCall::Foreign { call, .. } => call.name(),
+            ControlCall::External { call, .. } => call.name(),
             ControlCall::PutDocument(_) => "put_document",
             ControlCall::ReadDocument => "read_document",
-            ControlCall::NameWeights { .. } => "name_weights",
+            ControlCall::PublishWeights { .. } => "name_weights",
             ControlCall::Resolve { .. } => "resolve",
             ControlCall::Readiness => "readiness",
             ControlCall::Unknown => "unknown",
@@ -151,7 +151,7 @@
     }
 
     /// Name of the event that such a call came from another writer.
-    pub fn foreign_event(self) -> &'static str {
+    pub fn external_event(self) -> &'static str {
         match self {
             ReplicaCall::Heartbeat => "heartbeat_foreign",
             ReplicaCall::Depart => "departure_foreign",
@@ -161,26 +161,26 @@
 
 /// An answer of the control plane or the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// Status.
     pub status: u16,
     /// Content type of the body, where there is one.
     pub content_type: Option<&'static str>,
     /// Further fields.
-    pub fields: Vec<(String, String)>,
+    pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
 }
 
 /// A call to a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HttpCall {
+pub struct HttpRequest {
     /// Method.
     pub method: &'static str,
     /// Target.
     pub target: String,
     /// Fields.
-    pub fields: Vec<(String, String)>,
+    pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
 }
@@ -191,62 +191,62 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    fn request(&self, head: &RequestHead) -> Result<RequestTags, String>;
+    fn request_metadata(&self, head: &RequestHead) -> Result<RequestMetadata, String>;
 
     /// Whether a client's field must not reach a replica, since only the gateway sets it.
-    fn is_own_field(&self, name: &str) -> bool;
+    fn is_gateway_header(&self, name: &str) -> bool;
 
     /// Fields that a gateway sets on a request to a replica.
-    fn upstream_fields(&self, upstream: &Upstream) -> Vec<(String, String)>;
+    fn upstream_headers(&self, upstream: &UpstreamMetadata) -> Vec<(String, String)>;
 
     /// Reads a replica's answer.
-    fn answer(&self, head: &ResponseHead) -> AnswerTags;
+    fn response_metadata(&self, head: &ResponseHead) -> ResponseMetadata;
 
     /// Identifier of an event of a stream.
     fn event_id(&self, event: &[u8]) -> Option<String>;
 
     /// Version of weights that an event of a stream says it is the first to be made with.
-    fn event_version(&self, event: &[u8]) -> Option<u32>;
+    fn event_weights_version(&self, event: &[u8]) -> Option<u32>;
 
     /// Answer for a refusal of a client's request.
-    fn refusal(&self, kind: ErrorKind, retry_after: Option<Duration>) -> HttpAnswer;
+    fn error_response(&self, kind: ErrorKind, retry_after: Option<Duration>) -> HttpResponse;
 
     /// Reads a catalog document.
     ///
     /// # Errors
     /// Why it is invalid.
-    fn catalog(&self, document: &[u8]) -> Result<Catalog, CatalogProblem>;
+    fn parse_catalog(&self, document: &[u8]) -> Result<Catalog, CatalogProblem>;
 
     /// Reads a call to the control plane, the directory or the readiness address.
-    fn control_call(&self, head: &RequestHead, body: &[u8]) -> ControlCall;
+    fn parse_control_call(&self, head: &RequestHead, body: &[u8]) -> ControlCall;
 
     /// Answer to a heartbeat; `next` is where later ones are answered fastest.
-    fn heartbeat_answer(&self, next: Option<String>) -> HttpAnswer;
+    fn heartbeat_response(&self, next: Option<String>) -> HttpResponse;
 
     /// Answer with the newest document.
-    fn document_answer(&self, document: &Document) -> HttpAnswer;
+    fn document_response(&self, document: &Document) -> HttpResponse;
 
     /// Answer of the directory; empty lists are refused before.
-    fn directory_answer(&self, gateways: &[GatewayReport], ttl: Duration) -> HttpAnswer;
+    fn directory_response(&self, gateways: &[GatewayReport], ttl: Duration) -> HttpResponse;
 
     /// Answer without content.
-    fn plain_answer(&self, status: u16, message: &str) -> HttpAnswer;
+    fn message_response(&self, status: u16, message: &str) -> HttpResponse;
 
     /// An order to a replica. `holder` names who gives it.
-    fn order(&self, order: &WeightsOrder, holder: &str) -> HttpCall;
+    fn order_call(&self, order: &WeightsOrder, leader: &str) -> HttpRequest;
 
     /// How an order ended.
-    fn order_end(&self, status: u16) -> OrderEnd;
+    fn order_outcome(&self, status: u16) -> OrderEnd;
 
     /// A question for a replica's report.
-    fn report_call(&self) -> HttpCall;
+    fn report_call(&self) -> HttpRequest;
 
     /// A question for a store's events from a position on, which may be held for so long.
-    fn store_events_call(&self, position: u64, hold: Duration) -> HttpCall;
+    fn store_events_call(&self, position: u64, hold: Duration) -> HttpRequest;
 
     /// Reads a page of a store's events.
-    fn store_events(&self, body: &[u8]) -> Option<StoreEvents>;
+    fn parse_store_events(&self, body: &[u8]) -> Option<StoreEvents>;
 
     /// Reads a replica's report.
-    fn report(&self, body: &[u8]) -> Option<ReplicaReport>;
+    fn parse_report(&self, body: &[u8]) -> Option<ReplicaReport>;
 }
--- a/crates/topazmount/src/fleet/exchange/answers.rs
+++ b/crates/topazmount/src/fleet/exchange/answers.rs
@@ -88,7 +88,7 @@
         retry_after: Option<Duration>,
     ) -> Ending {
         self.log_end(plan, kind.status(), kind.name());
-        let answer = self.shared.dialect.refusal(kind, retry_after);
+        let answer = self.shared.dialect.error_response(kind, retry_after);
         let bytes = own_answer(&answer, self.head, self.keeps_alive);
         match self.client.write_all(&bytes).await {
             Ok(()) => Ending::Whole,
--- a/crates/topazmount/src/fleet/exchange/attempt.rs
+++ b/crates/topazmount/src/fleet/exchange/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt at a replica: the request out, and the begin of an answer in.
 
 use super::super::answer::end_to_end;
-use super::super::dialect::Upstream;
+use super::super::dialect::UpstreamMetadata;
 use super::super::pool::ConnectionEnd;
 use super::super::stream::EventSplitter;
 use super::limit::Grant;
@@ -226,22 +226,22 @@
     fn upstream_bytes(&self, choice: &Choice, progress: &Progress) -> Vec<u8> {
         let has_prompt = self.tags.prompt.is_some();
         let version = choice.version.filter(|_| has_prompt);
-        let upstream = Upstream {
+        let upstream = UpstreamMetadata {
             instance: choice.instance.id.clone(),
-            time_left: self.left(),
+            remaining_time: self.left(),
             tenant: self.admission.tenant.as_ref().map(|tenant| tenant.name.clone()),
             cache_salt: has_prompt.then(|| self.cache_salt(version)),
             expected_version: choice.expected.filter(|_| has_prompt),
             // Without a known version nothing may be shared with other replicas.
             fetch_from: choice.source.clone().filter(|_| version.is_some()),
             save_to: choice.save_to.clone().filter(|_| version.is_some()),
-            last_event: progress.last_event.clone(),
+            last_event_id: progress.last_event.clone(),
             priority: self.tags.prompt.as_ref().map(|_| self.rank()),
         };
         let dialect = &self.shared.dialect;
         let mut fields = end_to_end(&self.head.headers);
-        fields.retain(|(name, _)| !dialect.is_own_field(name));
-        let own = dialect.upstream_fields(&upstream).into_iter();
+        fields.retain(|(name, _)| !dialect.is_gateway_header(name));
+        let own = dialect.upstream_headers(&upstream).into_iter();
         fields.extend(own.map(|(name, value)| (name, value.into_bytes())));
         request_bytes(&self.head.method, &self.head.target, &Headers(fields), self.body)
     }
@@ -287,7 +287,7 @@
             let Ok(framing) = response_framing(&head, &self.head.method) else {
                 return First::Broken("ambiguous length");
             };
-            let tags = self.shared.dialect.answer(&head);
+            let tags = self.shared.dialect.response_metadata(&head);
             self.note_pushback(choice, &tags, head.status, sent_at);
             let mut reader = BodyReader::new(framing);
             if tags.request_id.as_ref().is_some_and(|id| *id != self.tags.id) {
@@ -349,13 +349,13 @@
 
     /// What a whole answer means.
     fn judge(&self, choice: &Choice, head: ResponseHead, body: Vec<u8>) -> Attempt {
-        let tags = self.shared.dialect.answer(&head);
-        if tags.is_unexpected {
+        let tags = self.shared.dialect.response_metadata(&head);
+        if tags.is_misdirected {
             let is_other = tags.instance.is_none_or(|id| id != choice.instance.id);
             let named_weights = choice.expected.is_some() && self.tags.prompt.is_some();
             return Attempt::Ended(match (is_other, named_weights) {
                 (true, _) => AttemptEnd::WrongInstance,
-                (false, true) => self.judge_refused_version(choice, tags.version),
+                (false, true) => self.judge_refused_version(choice, tags.weights_version),
                 (false, false) => AttemptEnd::NotRun,
             });
         }
--- a/crates/topazmount/src/fleet/exchange/late.rs
+++ b/crates/topazmount/src/fleet/exchange/late.rs
@@ -8,7 +8,7 @@
     /// How long the client should stay away, where its prompt would be late at its choice. What was sent to a replica
     /// already, or has a part of its answer, goes on.
     pub(super) fn wait_if_late(&self, plan: &RequestPlan, choice: &Choice) -> Option<Duration> {
-        let is_begun = !plan.tried().is_empty() || self.tags.last_event.is_some();
+        let is_begun = !plan.tried().is_empty() || self.tags.last_event_id.is_some();
         if is_begun || self.tags.prompt.is_none() {
             return None;
         }
--- a/crates/topazmount/src/fleet/exchange/mod.rs
+++ b/crates/topazmount/src/fleet/exchange/mod.rs
@@ -12,7 +12,7 @@
 mod relay;
 mod resume;
 
-use super::dialect::RequestTags;
+use super::dialect::RequestMetadata;
 use super::gateway::Shared;
 use super::pool::ConnectionEnd;
 use super::stream::EventSplitter;
@@ -43,7 +43,7 @@
     pub(super) shared: &'a Shared,
     pub(super) head: &'a RequestHead,
     pub(super) body: &'a [u8],
-    pub(super) tags: &'a RequestTags,
+    pub(super) tags: &'a RequestMetadata,
     /// Tells another try of the same request.
     pub(super) digest: RequestDigest,
     pub(super) admission: &'a Admission,
@@ -222,7 +222,7 @@
         let route = &self.admission.route;
         let mut plan = RequestPlan::new(route.is_repeatable(), route.attempts);
         let mut progress =
-            Progress { last_event: self.tags.last_event.clone(), ..Progress::default() };
+            Progress { last_event: self.tags.last_event_id.clone(), ..Progress::default() };
         let now = self.shared.clock.now();
         let service = self.admission.service.clone();
         self.shared.knowledge.lock().unwrap().count_request(&service, now);
--- a/crates/topazmount/src/fleet/exchange/pushback.rs
+++ b/crates/topazmount/src/fleet/exchange/pushback.rs
@@ -1,6 +1,6 @@
 //! What replicas' answers ask of this gateway.
 
-use super::super::dialect::AnswerTags;
+use super::super::dialect::ResponseMetadata;
 use super::Exchange;
 use std::time::Duration;
 use topazmount_admission::{LimitChange, RequestLimit};
@@ -13,7 +13,7 @@
     pub(super) fn note_pushback(
         &self,
         choice: &Choice,
-        tags: &AnswerTags,
+        tags: &ResponseMetadata,
         status: u16,
         sent_at: Time,
     ) {
@@ -69,12 +69,12 @@
     }
 
     /// Notes the limit that an answer names, or that it names none. A value that can't be read says neither.
-    fn note_limit(&self, choice: &Choice, tags: &AnswerTags, sent_at: Time) {
+    fn note_limit(&self, choice: &Choice, tags: &ResponseMetadata, sent_at: Time) {
         let limit = tags.pushback.limit;
         let is_of_replica = tags.is_sealed || tags.is_not_run;
         let is_other = tags.instance.as_ref().is_some_and(|id| *id != choice.instance.id);
         let says_none = limit.is_none() && is_of_replica && tags.pushback.unreadable.is_none();
-        if is_other || tags.is_unexpected || !(limit.is_some() || says_none) {
+        if is_other || tags.is_misdirected || !(limit.is_some() || says_none) {
             return;
         }
         // A late answer to an earlier request says nothing of what holds since.
--- a/crates/topazmount/src/fleet/exchange/record.rs
+++ b/crates/topazmount/src/fleet/exchange/record.rs
@@ -19,9 +19,9 @@
 
 impl Exchange<'_> {
     pub(super) fn note_version(&self, choice: &Choice, head: &ResponseHead) {
-        let tags = self.shared.dialect.answer(head);
+        let tags = self.shared.dialect.response_metadata(head);
         // A refusal may be another replica's, and is judged by itself.
-        let version = tags.version.filter(|_| !tags.is_unexpected);
+        let version = tags.weights_version.filter(|_| !tags.is_misdirected);
         if let (Some(model), Some(version)) = (&self.tags.model, version) {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
             knowledge.balancer().saw_version(choice, model, version);
--- a/crates/topazmount/src/fleet/exchange/relay.rs
+++ b/crates/topazmount/src/fleet/exchange/relay.rs
@@ -75,7 +75,7 @@
 
     /// A replica that loads in the middle of a stream tells with the next event.
     fn note_event_version(&self, choice: &Choice, event: &[u8]) {
-        let version = self.shared.dialect.event_version(event);
+        let version = self.shared.dialect.event_weights_version(event);
         if let (Some(model), Some(version)) = (&self.tags.model, version) {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
             knowledge.balancer().saw_version(choice, model, version);
--- a/crates/topazmount/src/fleet/foreign_log.rs
+++ b/crates/topazmount/src/fleet/external_log.rs
@@ -15,13 +15,13 @@
 
 /// Which lines are written: one for each event and identifier in 5 s, and 32 in all.
 #[derive(Debug, Default)]
-pub struct ForeignLines {
+pub struct ExternalLogLimiter {
     began: Option<Instant>,
     written: HashSet<(&'static str, String)>,
     left_out: u64,
 }
 
-impl ForeignLines {
+impl ExternalLogLimiter {
     /// The lines to write now about something that was said under an identifier.
     pub fn note(
         &mut self,
@@ -62,14 +62,14 @@
 }
 
 /// The log and the counters of a control member.
-pub(super) struct ForeignLog {
+pub(super) struct ExternalLog {
     metrics: Arc<Metrics>,
-    lines: Mutex<ForeignLines>,
+    lines: Mutex<ExternalLogLimiter>,
 }
 
-impl ForeignLog {
+impl ExternalLog {
     pub(super) fn new(metrics: Arc<Metrics>) -> Self {
-        ForeignLog { metrics, lines: Mutex::default() }
+        ExternalLog { metrics, lines: Mutex::default() }
     }
 
     /// Notes that something was said under an identifier that is no replica's own word.
--- a/crates/topazmount/src/fleet/gateway.rs
+++ b/crates/topazmount/src/fleet/gateway.rs
@@ -2,7 +2,7 @@
 
 use super::clients;
 use super::crash_watch;
-use super::dialect::{ControlCall, Dialect, HttpAnswer};
+use super::dialect::{ControlCall, Dialect, HttpResponse};
 use super::http_service::{self, Service};
 use super::journal::Journal;
 use super::metrics::{Metrics, MetricsService};
@@ -82,8 +82,9 @@
         let key = ClusterKey::from_text(&settings.cluster_key);
         let peers = Peers::bind(clients, settings.peer_port, key.clone()).await;
         let peers = Arc::new(peers.wrap_err("listening for other gateways")?);
-        let mut knowledge = Knowledge::new(&settings.zone, settings.gateway(), rand::random());
-        settings.policy_table(knowledge.policies())?;
+        let mut knowledge =
+            Knowledge::new(&settings.zone, settings.gateway_settings(), rand::random());
+        settings.load_policies(knowledge.policies())?;
         knowledge.set_own_address(peers.own_address());
         let (nudge, nudges) = async_channel::bounded(1);
         let (broken_at, broken) = async_channel::bounded(crash_watch::MOST_WAITING);
@@ -117,7 +118,7 @@
         executor.spawn(peers::listen(peers, shared.clone())).detach();
         executor.spawn(crash_watch::run(executor.clone(), shared.clone(), broken)).detach();
         executor.spawn(store_reader::run(executor.clone(), shared.clone())).detach();
-        let seeds = Seeds::new(settings.seed_peers());
+        let seeds = Seeds::new(settings.seed_peer_addresses());
         let watcher = Watcher::new(executor, clock, key, seeds.clone(), true);
         let report = GatewayReport {
             address: clients.to_string(),
@@ -128,18 +129,18 @@
         let news = News { shared: shared.clone(), report };
         executor.spawn(watcher.run(news, nudges)).detach();
         log::info!("gateway: event=start name={} zone={}", settings.name, settings.zone);
-        Ok(Gateway { shared, stop_time: settings.stop_time(), seeds })
+        Ok(Gateway { shared, stop_time: settings.stop_timeout(), seeds })
     }
 
     /// Takes changed settings into use; addresses and names stay until the next start.
     pub fn reload(&self, settings: &FleetSettings) {
         let mut knowledge = self.shared.knowledge.lock().unwrap();
-        if let Err(error) = settings.policy_table(knowledge.policies()) {
+        if let Err(error) = settings.load_policies(knowledge.policies()) {
             log::error!("gateway: event=reload_refused problem={error:#}");
             return;
         }
-        knowledge.set_settings(settings.gateway());
-        self.seeds.set(settings.seed_peers());
+        knowledge.set_settings(settings.gateway_settings());
+        self.seeds.set(settings.seed_peer_addresses());
         log::info!("gateway: event=reload policies={}", settings.policies.len());
     }
 
@@ -232,12 +233,12 @@
 struct Readiness(Arc<Shared>);
 
 impl Service for Readiness {
-    async fn answer(&self, head: RequestHead, body: Vec<u8>) -> HttpAnswer {
+    async fn answer(&self, head: RequestHead, body: Vec<u8>) -> HttpResponse {
         let dialect = &self.0.dialect;
-        match dialect.control_call(&head, &body) {
-            ControlCall::Readiness if self.0.is_ready() => dialect.plain_answer(200, "ready"),
-            ControlCall::Readiness => dialect.plain_answer(503, "not ready"),
-            _ => dialect.plain_answer(404, "no such call"),
+        match dialect.parse_control_call(&head, &body) {
+            ControlCall::Readiness if self.0.is_ready() => dialect.message_response(200, "ready"),
+            ControlCall::Readiness => dialect.message_response(503, "not ready"),
+            _ => dialect.message_response(404, "no such call"),
         }
     }
 }
@@ -272,7 +273,7 @@
 
     fn read(&mut self, view: FleetView, asked_at: Time) {
         let catalog = view.document.as_ref().and_then(|document| {
-            let catalog = self.shared.dialect.catalog(&document.bytes);
+            let catalog = self.shared.dialect.parse_catalog(&document.bytes);
             if let Err(problem) = &catalog {
                 log::error!("gateway: event=unreadable_document problem={problem}");
             }
--- a/crates/topazmount/src/fleet/http_service.rs
+++ b/crates/topazmount/src/fleet/http_service.rs
@@ -1,7 +1,7 @@
 //! Serves short calls over HTTP: a whole request in, a whole answer out.
 
 use super::answer::answer_bytes;
-use super::dialect::HttpAnswer;
+use super::dialect::HttpResponse;
 use super::request_reader::{ReadLimits, Unread, read_body, read_head};
 use crate::Executor;
 use crate::http1::{RequestHead, Wire, simple_answer};
@@ -27,7 +27,8 @@
 /// Answers one call.
 pub trait Service: Send + Sync + 'static {
     /// Answers.
-    fn answer(&self, head: RequestHead, body: Vec<u8>) -> impl Future<Output = HttpAnswer> + Send;
+    fn answer(&self, head: RequestHead, body: Vec<u8>)
+    -> impl Future<Output = HttpResponse> + Send;
 }
 
 /// Listens at an address and serves calls.
--- a/crates/topazmount/src/fleet/metrics.rs
+++ b/crates/topazmount/src/fleet/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters and histograms of a fleet's processes, in Prometheus' text format.
 
-use super::dialect::HttpAnswer;
+use super::dialect::HttpResponse;
 use super::http_service::Service;
 use crate::http1::RequestHead;
 use crate::message_meter::MessageMeter;
@@ -178,12 +178,12 @@
     F: Fn() -> T + Send + Sync + 'static,
     T: Future<Output = String> + Send,
 {
-    async fn answer(&self, head: RequestHead, _body: Vec<u8>) -> HttpAnswer {
+    async fn answer(&self, head: RequestHead, _body: Vec<u8>) -> HttpResponse {
         let is_metrics = head.method == "GET" && head.path() == METRICS_PATH;
-        HttpAnswer {
+        HttpResponse {
             status: if is_metrics { 200 } else { 404 },
             content_type: Some("text/plain; version=0.0.4"),
-            fields: Vec::new(),
+            headers: Vec::new(),
             body: if is_metrics { (self.0)().await.into_bytes() } else { Vec::new() },
         }
     }
--- a/crates/topazmount/src/fleet/mod.rs
+++ b/crates/topazmount/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 mod dialect;
 mod directory;
 mod exchange;
-mod foreign_log;
+mod external_log;
 mod gateway;
 mod http_service;
 mod journal;
@@ -29,11 +29,14 @@
 
 pub use control_service::{ControlPlane, ControlPlaneOptions};
 pub use dialect::{
-    AnswerTags, ControlCall, Dialect, HttpAnswer, HttpCall, ReplicaCall, RequestTags, Upstream,
+    ControlCall, Dialect, HttpRequest, HttpResponse, ReplicaCall, RequestMetadata,
+    ResponseMetadata, UpstreamMetadata,
 };
-pub use foreign_log::ForeignLines;
+pub use external_log::ExternalLogLimiter;
 pub use gateway::{Gateway, GatewayOptions};
 pub use metrics::{METRICS_PATH, Metrics};
-pub use peers::Message as GatewayMessage;
+pub use peers::GatewayMessage;
 pub use process::{run_control, run_gateway};
-pub use settings::{Bounds, CacheBelief, FleetPolicy, FleetSettings, KeptConnections, Listen};
+pub use settings::{
+    Bounds, CacheSettings, ConnectionPoolSettings, FleetPolicy, FleetSettings, ListenAddresses,
+};
--- a/crates/topazmount/src/fleet/orders.rs
+++ b/crates/topazmount/src/fleet/orders.rs
@@ -1,8 +1,8 @@
 //! Sends the leader's orders and questions to replicas, and tells how they ended.
 
 use super::caller::Caller;
-use super::dialect::{Dialect, HttpCall};
-use super::foreign_log::ForeignLog;
+use super::dialect::{Dialect, HttpRequest};
+use super::external_log::ExternalLog;
 use crate::Executor;
 use crate::control_process::LocalMember;
 use crate::http1::ClientAnswer;
@@ -28,7 +28,7 @@
     /// Who gives the orders.
     pub(super) holder: String,
     /// Takes note of answers that are no reports.
-    pub(super) foreign: Arc<ForeignLog>,
+    pub(super) foreign: Arc<ExternalLog>,
 }
 
 /// Sends actions until the member stops.
@@ -50,10 +50,11 @@
     async fn act(&self, action: FleetAction) -> Vec<OrderReport> {
         match action {
             FleetAction::Order(order) => {
-                let answer = send(&order.address, self.dialect.order(&order, &self.holder)).await;
+                let answer =
+                    send(&order.address, self.dialect.order_call(&order, &self.holder)).await;
                 let said = self.pushback(&answer, &order.instance, order.start);
                 let end = match &answer {
-                    Ok(answer) => self.dialect.order_end(answer.head.status),
+                    Ok(answer) => self.dialect.order_outcome(answer.head.status),
                     Err(_) => OrderEnd::Unknown,
                 };
                 log::info!(
@@ -74,7 +75,7 @@
                 let said = self.pushback(&answer, &instance, start);
                 let is_good = |answer: &ClientAnswer| answer.head.status == 200;
                 let body = answer.ok().filter(is_good).map(|answer| answer.body);
-                let report = body.as_ref().and_then(|body| self.dialect.report(body));
+                let report = body.as_ref().and_then(|body| self.dialect.parse_report(body));
                 if body.is_some() && report.is_none() {
                     self.foreign.note("report_foreign", &instance, "unreadable");
                 }
@@ -91,7 +92,7 @@
         instance: &str,
         start: Start,
     ) -> Option<OrderReport> {
-        let said = self.dialect.answer(&answer.as_ref().ok()?.head).pushback;
+        let said = self.dialect.response_metadata(&answer.as_ref().ok()?.head).pushback;
         if !said.asks() {
             return None;
         }
@@ -105,7 +106,7 @@
 }
 
 /// Each call goes out once: an order may be carried out without an answer.
-async fn send(address: &str, req: HttpCall) -> Result<ClientAnswer> {
+async fn send(address: &str, req: HttpRequest) -> Result<ClientAnswer> {
     Caller::new(address)?.call(req, MAX_ANSWER, LIMIT).await
 }
 
--- a/crates/topazmount/src/fleet/peers.rs
+++ b/crates/topazmount/src/fleet/peers.rs
@@ -21,23 +21,31 @@
 
 /// What a gateway tells another one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Message {
+pub enum GatewayMessage {
     /// Its work at a replica.
-    Load(LoadNews),
+    #[serde(rename = "Load")]
+    LoadUpdate(LoadNews),
     /// A question to a coordinator, by its number.
-    Question(u64, ChoiceQuestion),
+    #[serde(rename = "Question")]
+    ChoiceRequest(u64, ChoiceQuestion),
     /// The answer to the question of that number; none where no replica may be asked.
-    Answer(u64, Option<Offer>),
+    #[serde(rename = "Answer")]
+    ChoiceResponse(u64, Option<Offer>),
     /// Asks for units of a stripe of a tenant's limit, by the number of the question.
-    Grant(u64, StripeId, u32),
+    #[serde(rename = "Grant")]
+    GrantRequest(u64, StripeId, u32),
     /// The answer to that.
-    Granted(u64, GrantAnswer),
+    #[serde(rename = "Granted")]
+    GrantResponse(u64, GrantAnswer),
     /// Units that were granted for a request that has not run.
-    GiveBack(StripeId, u32),
+    #[serde(rename = "GiveBack")]
+    UnitsReturned(StripeId, u32),
     /// What it was told of a replica's limit.
-    Limit(LimitNews),
+    #[serde(rename = "Limit")]
+    LimitUpdate(LimitNews),
     /// Asks for one request to a replica that names a limit, by the number of the question; answered by `Granted`.
-    GrantSend(u64, LimitNews),
+    #[serde(rename = "GrantSend")]
+    SendGrantRequest(u64, LimitNews),
 }
 
 /// An answer to a question.
@@ -59,7 +67,7 @@
 
 struct Outgoing {
     to: Vec<SocketAddr>,
-    message: Message,
+    message: GatewayMessage,
 }
 
 /// A question under way; forgotten when it is dropped.
@@ -105,10 +113,10 @@
     /// makes it good.
     pub(super) fn tell(&self, news: Option<(Vec<SocketAddr>, LoadNews)>) {
         let Some((to, news)) = news else { return };
-        self.send(to, Message::Load(LoadNews { node: self.node, ..news }));
+        self.send(to, GatewayMessage::LoadUpdate(LoadNews { node: self.node, ..news }));
     }
 
-    fn send(&self, to: Vec<SocketAddr>, message: Message) {
+    fn send(&self, to: Vec<SocketAddr>, message: GatewayMessage) {
         if !to.is_empty() {
             let _ = self.waiting.0.try_send(Outgoing { to, message });
         }
@@ -121,7 +129,9 @@
         question: ChoiceQuestion,
         limit: Duration,
     ) -> Option<Option<Offer>> {
-        match self.question(coordinator, |number| Message::Question(number, question), limit).await
+        match self
+            .question(coordinator, |number| GatewayMessage::ChoiceRequest(number, question), limit)
+            .await
         {
             Some(Answer::Choice(offer)) => Some(offer),
             _ => None,
@@ -136,7 +146,10 @@
         amount: u32,
         limit: Duration,
     ) -> Option<GrantAnswer> {
-        match self.question(granter, |number| Message::Grant(number, stripe, amount), limit).await {
+        match self
+            .question(granter, |number| GatewayMessage::GrantRequest(number, stripe, amount), limit)
+            .await
+        {
             Some(Answer::Grant(answer)) => Some(answer),
             _ => None,
         }
@@ -150,7 +163,10 @@
         asked: LimitNews,
         limit: Duration,
     ) -> Option<GrantAnswer> {
-        match self.question(granter, |number| Message::GrantSend(number, asked), limit).await {
+        match self
+            .question(granter, |number| GatewayMessage::SendGrantRequest(number, asked), limit)
+            .await
+        {
             Some(Answer::Grant(answer)) => Some(answer),
             _ => None,
         }
@@ -158,18 +174,18 @@
 
     /// Tells others of a replica's limit, without waiting.
     pub(super) fn tell_limit(&self, to: Vec<SocketAddr>, news: LimitNews) {
-        self.send(to, Message::Limit(news));
+        self.send(to, GatewayMessage::LimitUpdate(news));
     }
 
     /// Tells a granter of units that were not used.
     pub(super) fn give_back(&self, granter: SocketAddr, stripe: StripeId, amount: u32) {
-        self.send(vec![granter], Message::GiveBack(stripe, amount));
+        self.send(vec![granter], GatewayMessage::UnitsReturned(stripe, amount));
     }
 
     async fn question(
         &self,
         to: SocketAddr,
-        message: impl FnOnce(u64) -> Message,
+        message: impl FnOnce(u64) -> GatewayMessage,
         limit: Duration,
     ) -> Option<Answer> {
         let number = self.next_question.fetch_add(1, Ordering::Relaxed);
@@ -209,37 +225,40 @@
     loop {
         let Ok((length, sender)) = peers.socket.recv_from(&mut buffer).await else { continue };
         let payload = open_datagram(&peers.key, &buffer[..length]);
-        let message = payload.ok().and_then(|payload| decode_payload::<Message>(payload).ok());
+        let message =
+            payload.ok().and_then(|payload| decode_payload::<GatewayMessage>(payload).ok());
         let now = shared.clock.now();
         match message {
-            Some(Message::Load(news)) => {
+            Some(GatewayMessage::LoadUpdate(news)) => {
                 shared.knowledge.lock().unwrap().balancer().apply_news(&news, now);
             }
-            Some(Message::Question(number, question)) => {
+            Some(GatewayMessage::ChoiceRequest(number, question)) => {
                 shared.metrics.event("question_answered");
                 let offer = shared.knowledge.lock().unwrap().answer(&question, now);
-                peers.send(vec![sender], Message::Answer(number, offer));
+                peers.send(vec![sender], GatewayMessage::ChoiceResponse(number, offer));
+            }
+            Some(GatewayMessage::ChoiceResponse(number, offer)) => {
+                peers.answered(number, Answer::Choice(offer))
             }
-            Some(Message::Answer(number, offer)) => peers.answered(number, Answer::Choice(offer)),
-            Some(Message::Grant(number, stripe, amount)) => {
+            Some(GatewayMessage::GrantRequest(number, stripe, amount)) => {
                 let answer = shared.knowledge.lock().unwrap().grant(stripe, amount, now);
                 shared.metrics.event(grant_event(answer));
-                peers.send(vec![sender], Message::Granted(number, answer));
+                peers.send(vec![sender], GatewayMessage::GrantResponse(number, answer));
             }
-            Some(Message::Granted(number, answer)) => {
+            Some(GatewayMessage::GrantResponse(number, answer)) => {
                 peers.answered(number, Answer::Grant(answer));
             }
-            Some(Message::GiveBack(stripe, amount)) => {
+            Some(GatewayMessage::UnitsReturned(stripe, amount)) => {
                 shared.knowledge.lock().unwrap().give_back(stripe, amount, now);
             }
-            Some(Message::Limit(news)) => {
+            Some(GatewayMessage::LimitUpdate(news)) => {
                 let to = shared.knowledge.lock().unwrap().told_limit(&news, now);
                 peers.tell_limit(to, news);
             }
-            Some(Message::GrantSend(number, asked)) => {
+            Some(GatewayMessage::SendGrantRequest(number, asked)) => {
                 let answer = shared.knowledge.lock().unwrap().grant_send(&asked, now);
                 shared.metrics.event(send_grant_event(answer));
-                peers.send(vec![sender], Message::Granted(number, answer));
+                peers.send(vec![sender], GatewayMessage::GrantResponse(number, answer));
             }
             None => shared.metrics.event("bad_datagram"),
         }
--- a/crates/topazmount/src/fleet/settings.rs
+++ b/crates/topazmount/src/fleet/settings.rs
@@ -33,21 +33,21 @@
     /// Folder of a control member.
     pub data_folder: Option<PathBuf>,
     /// Where the process listens.
-    pub listen: Listen,
+    pub listen: ListenAddresses,
     /// Bounds that it keeps.
     pub bounds: Bounds,
     /// Kept connections to replicas.
     #[serde(default)]
-    pub connections: KeptConnections,
+    pub connections: ConnectionPoolSettings,
     /// What a gateway believes of caches.
     #[serde(default)]
-    pub caches: CacheBelief,
+    pub caches: CacheSettings,
     /// How long a process believes what replicas and stores ask of it.
     #[serde(default)]
-    pub pushback: BelievedPushback,
+    pub pushback: PushbackLimits,
     /// How a roll-out of weights spares those who serve.
     #[serde(default)]
-    pub rollout: SparingRollout,
+    pub rollout: RolloutLimits,
     /// Policy programs that decide on a gateway, or are shadowed there.
     #[serde(default, rename = "policy")]
     pub policies: Vec<FleetPolicy>,
@@ -72,7 +72,7 @@
 /// Addresses; each is served by the kind of process that has a use for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Listen {
+pub struct ListenAddresses {
     /// Clients of a gateway.
     pub clients: Option<SocketAddr>,
     /// Readiness of a gateway.
@@ -88,7 +88,7 @@
 /// Kept connections of a gateway to replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct KeptConnections {
+pub struct ConnectionPoolSettings {
     /// Whether any are kept.
     pub keep: bool,
     /// Longest idle time before a request that must run at most once, in milliseconds.
@@ -97,10 +97,10 @@
     pub most_idle_ms: u64,
 }
 
-impl Default for KeptConnections {
+impl Default for ConnectionPoolSettings {
     fn default() -> Self {
         let cfg = ConnectionSettings::default();
-        KeptConnections {
+        ConnectionPoolSettings {
             keep: cfg.is_on,
             once_idle_ms: cfg.once_idle.as_millis() as u64,
             most_idle_ms: cfg.most_idle.as_millis() as u64,
@@ -111,33 +111,33 @@
 /// What a gateway believes of replicas' caches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct CacheBelief {
+pub struct CacheSettings {
     /// Age up to which a replica almost surely holds what it was seen to read or use, in
     /// milliseconds; what is older is rather taken from a store.
     pub surely_kept_ms: u64,
 }
 
-impl Default for CacheBelief {
+impl Default for CacheSettings {
     fn default() -> Self {
         let surely_kept = GatewaySettings::default().surely_kept;
-        CacheBelief { surely_kept_ms: surely_kept.as_millis() as u64 }
+        CacheSettings { surely_kept_ms: surely_kept.as_millis() as u64 }
     }
 }
 
 /// How long a process believes what replicas and stores ask of it, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct BelievedPushback {
+pub struct PushbackLimits {
     /// Longest rest.
     pub longest_rest_s: f64,
     /// Longest time for which a replica that said that it leaves is left alone, since it last said so.
     pub longest_leave_s: f64,
 }
 
-impl Default for BelievedPushback {
+impl Default for PushbackLimits {
     fn default() -> Self {
         let cfg = PushbackSettings::default();
-        BelievedPushback {
+        PushbackLimits {
             longest_rest_s: cfg.longest_rest.as_secs_f64(),
             longest_leave_s: cfg.longest_leave.as_secs_f64(),
         }
@@ -147,7 +147,7 @@
 /// How a roll-out of weights spares replicas that serve.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct SparingRollout {
+pub struct RolloutLimits {
     /// Time that a load is taken to need until one was seen to end, in milliseconds.
     pub first_load_ms: u64,
     /// Share of a service's replicas that load at a time where that is enough.
@@ -156,10 +156,10 @@
     pub least_serving: f64,
 }
 
-impl Default for SparingRollout {
+impl Default for RolloutLimits {
     fn default() -> Self {
         let cfg = RolloutSettings::default();
-        SparingRollout {
+        RolloutLimits {
             first_load_ms: cfg.first_load.as_millis() as u64,
             usually_loading: cfg.usually_loading,
             least_serving: cfg.least_serving,
@@ -278,7 +278,7 @@
     ///
     /// # Errors
     /// What is wrong, with the file and, for a program, its line.
-    pub fn policy_table(&self, table: &mut PolicyTable) -> Result<()> {
+    pub fn load_policies(&self, table: &mut PolicyTable) -> Result<()> {
         let mut programs = Vec::new();
         for policy in &self.policies {
             let text = std::fs::read_to_string(&policy.file)
@@ -303,17 +303,17 @@
     }
 
     /// Internal addresses of the seeds.
-    pub fn seed_peers(&self) -> Vec<SocketAddr> {
+    pub fn seed_peer_addresses(&self) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), self.peer_port)).collect()
     }
 
     /// Time of a planned stop.
-    pub fn stop_time(&self) -> Duration {
+    pub fn stop_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.stop_s)
     }
 
     /// Bounds of a gateway.
-    pub fn gateway(&self) -> GatewaySettings {
+    pub fn gateway_settings(&self) -> GatewaySettings {
         let bounds = &self.bounds;
         let revocation = Duration::from_millis(bounds.revocation_ms);
         GatewaySettings {
@@ -334,13 +334,13 @@
                 overrun: bounds.quota_overrun,
                 slack: bounds.quota_slack,
             },
-            pushback: self.believed_pushback(),
-            rollout: self.rollout(),
+            pushback: self.pushback_settings(),
+            rollout: self.rollout_settings(),
         }
     }
 
     /// How long every kind of process believes what replicas and stores ask of it.
-    pub fn believed_pushback(&self) -> PushbackSettings {
+    pub fn pushback_settings(&self) -> PushbackSettings {
         PushbackSettings {
             longest_rest: Duration::from_secs_f64(self.pushback.longest_rest_s),
             longest_leave: Duration::from_secs_f64(self.pushback.longest_leave_s),
@@ -348,14 +348,14 @@
     }
 
     /// Bounds of the roll-out of weights.
-    pub fn rollout(&self) -> RolloutSettings {
+    pub fn rollout_settings(&self) -> RolloutSettings {
         RolloutSettings {
             lease: Duration::from_millis(self.bounds.lease_ms),
             spread: Duration::from_millis(self.bounds.spread_ms),
             first_load: Duration::from_millis(self.rollout.first_load_ms),
             usually_loading: self.rollout.usually_loading,
             least_serving: self.rollout.least_serving,
-            pushback: self.believed_pushback(),
+            pushback: self.pushback_settings(),
         }
     }
 }
--- a/crates/topazmount/src/fleet/store_reader.rs
+++ b/crates/topazmount/src/fleet/store_reader.rs
@@ -89,7 +89,8 @@
     let req = shared.dialect.store_events_call(position, HOLD);
     let answer = caller.call(req, MAX_PAGE, HOLD + ANSWER_MARGIN).await?;
     // A store is no replica, which others may take the place of: only a time of rest counts.
-    let said = Pushback { is_leaving: false, ..shared.dialect.answer(&answer.head).pushback };
+    let said =
+        Pushback { is_leaving: false, ..shared.dialect.response_metadata(&answer.head).pushback };
     if let Some(heard) = asked.hear(&caller.address().to_string(), said, shared.clock.now()) {
         let rest = heard.rests_for.unwrap_or_default().as_millis();
         log::info!("gateway: event=store_pushback address={} rest_ms={rest}", caller.address());
@@ -97,7 +98,7 @@
     if answer.head.status != 200 {
         bail!("status {}", answer.head.status);
     }
-    let page = shared.dialect.store_events(&answer.body);
+    let page = shared.dialect.parse_store_events(&answer.body);
     let page = page.ok_or_else(|| eyre!("an answer that is no page of events"))?;
     let (epoch, next) = (page.epoch, page.next);
     if shared.knowledge.lock().unwrap().balancer().stores().apply(key, page) {
--- a/crates/topazmount/tests/foreign_log.rs
+++ b/crates/topazmount/tests/external_log.rs
@@ -1,13 +1,13 @@
 //! Log lines of what other writers say stay few and short, whatever is said.
 
 use std::time::{Duration, Instant};
-use topazmount::fleet::ForeignLines;
+use topazmount::fleet::ExternalLogLimiter;
 
 const EVENT: &str = "heartbeat_foreign";
 
 #[test]
 fn each_identifier_has_one_line_in_five_seconds() {
-    let (mut lines, began) = (ForeignLines::default(), Instant::now());
+    let (mut lines, began) = (ExternalLogLimiter::default(), Instant::now());
     let first = lines.note(began, EVENT, "i-1", "address");
     assert_eq!(first, ["event=heartbeat_foreign id=i-1 reason=address"]);
     for tick in 0..100 {
@@ -25,8 +25,8 @@
 
 #[test]
 fn all_identifiers_together_have_32_lines_in_five_seconds() {
-    let (mut lines, began) = (ForeignLines::default(), Instant::now());
-    let count = |from: u64, lines: &mut ForeignLines, now| -> usize {
+    let (mut lines, began) = (ExternalLogLimiter::default(), Instant::now());
+    let count = |from: u64, lines: &mut ExternalLogLimiter, now| -> usize {
         (from..from + 10_000)
             .map(|number| lines.note(now, EVENT, &format!("i-{number}"), "unreadable").len())
             .sum()
@@ -41,7 +41,7 @@
     for id in
         ["", "a\nevent=order", "\u{1b}[2J", "\u{fffd}\u{1f600}", "x=\"y\"", &"é".repeat(9_000)]
     {
-        let line = ForeignLines::default().note(Instant::now(), EVENT, id, "id").concat();
+        let line = ExternalLogLimiter::default().note(Instant::now(), EVENT, id, "id").concat();
         assert!(line.len() < 600, "{} bytes", line.len());
         assert!(line.bytes().all(|byte| (0x20..0x7f).contains(&byte)), "{line:?}");
     }
--- a/crates/topazmount/tests/fleet_settings.rs
+++ b/crates/topazmount/tests/fleet_settings.rs
@@ -31,21 +31,22 @@
 #[test]
 fn good_settings_are_taken() {
     let settings = FleetSettings::parse(GOOD).unwrap();
-    assert_eq!(settings.stop_time(), Duration::from_secs(8));
-    assert_eq!(settings.gateway().revocation, Some(Duration::from_secs(5)));
-    let peers: Vec<String> = settings.seed_peers().iter().map(ToString::to_string).collect();
+    assert_eq!(settings.stop_timeout(), Duration::from_secs(8));
+    assert_eq!(settings.gateway_settings().revocation, Some(Duration::from_secs(5)));
+    let peers: Vec<String> =
+        settings.seed_peer_addresses().iter().map(ToString::to_string).collect();
     assert_eq!(peers, ["10.1.0.33:7340", "10.2.0.24:7340"]);
     let unbounded = GOOD.replace("revocation_ms = 5000", "revocation_ms = 0");
-    assert_eq!(FleetSettings::parse(&unbounded).unwrap().gateway().revocation, None);
+    assert_eq!(FleetSettings::parse(&unbounded).unwrap().gateway_settings().revocation, None);
 }
 
 #[test]
 fn control_and_gateways_believe_what_replicas_ask_for_the_same_time() {
     let tables = "[pushback]\nlongest_rest_s = 5\n[rollout]\nfirst_load_ms = 700\n[[policy]]";
     let settings = FleetSettings::parse(&GOOD.replace("[[policy]]", tables)).unwrap();
-    assert_eq!(settings.rollout().pushback.longest_rest, Duration::from_secs(5));
-    assert_eq!(settings.rollout().pushback, settings.gateway().pushback);
-    assert_eq!(settings.rollout().first_load, Duration::from_millis(700));
+    assert_eq!(settings.rollout_settings().pushback.longest_rest, Duration::from_secs(5));
+    assert_eq!(settings.rollout_settings().pushback, settings.gateway_settings().pushback);
+    assert_eq!(settings.rollout_settings().first_load, Duration::from_millis(700));
 }
 
 #[rstest]
@@ -80,6 +81,6 @@
 #[test]
 fn a_program_that_can_not_be_read_is_named() {
     let settings = FleetSettings::parse(GOOD).unwrap();
-    let error = settings.policy_table(&mut PolicyTable::default()).unwrap_err();
+    let error = settings.load_policies(&mut PolicyTable::default()).unwrap_err();
     assert!(format!("{error:#}").contains("/nowhere.rhai"), "{error:#}");
 }
--- a/crates/topazmount/tests/gateway_datagrams.rs
+++ b/crates/topazmount/tests/gateway_datagrams.rs
@@ -13,7 +13,7 @@
 const RECORDED: &str = include_str!("gateway_datagrams.txt");
 
 fn load(event: PromptEvent) -> GatewayMessage {
-    GatewayMessage::Load(LoadNews {
+    GatewayMessage::LoadUpdate(LoadNews {
         node: 0x0102_0304_0506_0708,
         replica: 0x1112_1314_1516_1718,
         pending_prefill: 70_000,
@@ -72,19 +72,22 @@
         ("load_read", load(PromptEvent::Read)),
         ("load_ended", load(PromptEvent::Ended)),
         ("load_failed", load(PromptEvent::Failed)),
-        ("question", GatewayMessage::Question(300, question())),
-        ("question_without_options", GatewayMessage::Question(300, without)),
-        ("answer", GatewayMessage::Answer(300, Some(offer()))),
-        ("answer_without_options", GatewayMessage::Answer(300, Some(bare))),
-        ("answer_none", GatewayMessage::Answer(300, None)),
-        ("grant", GatewayMessage::Grant(301, stripe, 900)),
-        ("granted", GatewayMessage::Granted(301, GrantAnswer::Granted)),
-        ("granted_over", GatewayMessage::Granted(301, GrantAnswer::Over(Duration::new(2, 500)))),
-        ("granted_not_holder", GatewayMessage::Granted(301, GrantAnswer::NotHolder)),
-        ("give_back", GatewayMessage::GiveBack(stripe, 900)),
-        ("limit", GatewayMessage::Limit(limit(Some(2.5)))),
-        ("limit_none", GatewayMessage::Limit(limit(None))),
-        ("grant_send", GatewayMessage::GrantSend(302, limit(Some(2.5)))),
+        ("question", GatewayMessage::ChoiceRequest(300, question())),
+        ("question_without_options", GatewayMessage::ChoiceRequest(300, without)),
+        ("answer", GatewayMessage::ChoiceResponse(300, Some(offer()))),
+        ("answer_without_options", GatewayMessage::ChoiceResponse(300, Some(bare))),
+        ("answer_none", GatewayMessage::ChoiceResponse(300, None)),
+        ("grant", GatewayMessage::GrantRequest(301, stripe, 900)),
+        ("granted", GatewayMessage::GrantResponse(301, GrantAnswer::Granted)),
+        (
+            "granted_over",
+            GatewayMessage::GrantResponse(301, GrantAnswer::Over(Duration::new(2, 500))),
+        ),
+        ("granted_not_holder", GatewayMessage::GrantResponse(301, GrantAnswer::NotHolder)),
+        ("give_back", GatewayMessage::UnitsReturned(stripe, 900)),
+        ("limit", GatewayMessage::LimitUpdate(limit(Some(2.5)))),
+        ("limit_none", GatewayMessage::LimitUpdate(limit(None))),
+        ("grant_send", GatewayMessage::SendGrantRequest(302, limit(Some(2.5)))),
     ]
 }
 
