--- a/crates/topazmount/src/fleet/exchange/mod.rs
+++ b/crates/topazmount/src/fleet/exchange/mod.rs
@@ -12,13 +12,14 @@
 mod relay;
 mod resume;
 
-use super::dialect::RequestTags;
+use super::dialect::RequestMetadata;
 use super::gateway::Shared;
 use super::pool::ConnectionEnd;
 use super::stream::EventSplitter;
 use crate::http1::{BodyReader, RequestHead, ResponseHead, Wire};
 use async_net::TcpStream;
 use limit::Grant;
+use record::attempt_end_label;
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -42,7 +43,7 @@
     pub(super) shared: &'a Shared,
     pub(super) head: &'a RequestHead,
     pub(super) body: &'a [u8],
-    pub(super) tags: &'a RequestTags,
+    pub(super) tags: &'a RequestMetadata,
     /// Tells another try of the same request.
     pub(super) digest: RequestDigest,
     pub(super) admission: &'a Admission,
@@ -221,7 +222,7 @@
         let route = &self.admission.route;
         let mut plan = RequestPlan::new(route.is_repeatable(), route.attempts);
         let mut progress =
-            Progress { last_event: self.tags.last_event.clone(), ..Progress::default() };
+            Progress { last_event: self.tags.last_event_id.clone(), ..Progress::default() };
         let now = self.shared.clock.now();
         let service = self.admission.service.clone();
         self.shared.knowledge.lock().unwrap().count_request(&service, now);
@@ -313,7 +314,7 @@
                 Attempt::Ended(end) => end,
             };
             self.note_failure(&in_flight, end);
-            self.log_attempt(&in_flight.choice, &format!("{end:?}"));
+            self.log_attempt(&in_flight.choice, attempt_end_label(end));
             if end == AttemptEnd::Broken {
                 self.look_for_crash(&in_flight.choice, began).await;
             }
