--- a/crates/gateway/src/balancer/choice.rs
+++ b/crates/gateway/src/balancer/choice.rs
@@ -21,11 +21,11 @@
     /// model.
     pub namespace: u64,
     /// The tenant whose parts are kept from all others, if it is one.
-    pub wall: Option<&'a str>,
+    pub isolated_tenant: Option<&'a str>,
     /// Names of the incarnations that were tried already.
-    pub exclude: &'a [String],
+    pub tried: &'a [String],
     /// Name of the only incarnation that may be chosen, if there is one.
-    pub held_to: Option<&'a String>,
+    pub pinned_to: Option<&'a String>,
     /// Parameters of the service's engines, if it has any.
     pub engine: Option<&'a EngineParameters>,
 }
@@ -33,7 +33,7 @@
 impl ChoiceRequest<'_> {
     /// Chain of all parts of the prompt.
     pub(super) fn chain(&self) -> Vec<u64> {
-        self.prompt.map(|prompt| prompt.chain(self.namespace)).unwrap_or_default()
+        self.prompt.map(|prompt| prompt.prefix_hashes(self.namespace)).unwrap_or_default()
     }
 
     pub(super) fn as_policies_see_it<'a>(
@@ -76,13 +76,13 @@
     /// Place in the order of the prompt's homes; 0 is the first.
     pub home_rank: u32,
     /// Whether nothing else was known to wait there to be read.
-    pub is_clear: bool,
+    pub has_empty_queue: bool,
     /// Part of its places that requests were known to take.
-    pub taken_share: f64,
+    pub slot_utilization: f64,
     /// Version of the model's weights that it is believed to hold.
     pub version: Option<u32>,
     /// Version that a prompt must name there: the one that it is believed to hold, else the newest named for the model.
-    pub expected: Option<u32>,
+    pub required_version: Option<u32>,
     /// Address of a replica with the same weights, or of a store, that probably holds more of the
     /// prompt.
     pub source: Option<String>,
--- a/crates/gateway/src/balancer/cost.rs
+++ b/crates/gateway/src/balancer/cost.rs
@@ -60,8 +60,8 @@
     candidate.network_ms += RANK_COST_MS * f64::from(candidate.home_rank);
     if let (Some(engine), true) = (engine, moved > 0) {
         let move_ms = match source.map(|source| source.certainty) {
-            Some(Certainty::Told(_, link_mbps)) => engine.move_ms_over(moved, link_mbps),
-            _ => engine.move_ms(moved),
+            Some(Certainty::Told(_, link_mbps)) => engine.transfer_ms_over(moved, link_mbps),
+            _ => engine.transfer_ms(moved),
         };
         let move_ms = move_ms * OTHER_ZONE_MOVE;
         candidate.network_ms += MOVE_COST_MS + MOVE_WEIGHT * move_ms;
--- a/crates/gateway/src/balancer/incarnations.rs
+++ b/crates/gateway/src/balancer/incarnations.rs
@@ -13,20 +13,20 @@
 
 /// Time for which a replica that went back to older weights gets no request for a model, unless its status comes before:
 /// the leader learns of it with its next heartbeat, 1.2 s later at most, and tells within the 400 ms of a held question.
-pub const WENT_BACK_PAUSE: Duration = Duration::from_millis(1_600);
+pub const DOWNGRADE_PAUSE: Duration = Duration::from_millis(1_600);
 
 /// What was taken back of the beliefs on a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum ReplicaChange {
     /// Another incarnation is there.
     Replaced {
         /// The one that ended.
-        earlier: Instance,
+        previous: Instance,
         /// When the new one started.
         start: Start,
     },
     /// It holds older weights than was believed.
-    WentBack {
+    Downgraded {
         /// Replica.
         id: InstanceId,
         /// Its incarnation.
@@ -34,22 +34,22 @@
         /// Model.
         model: String,
         /// Version that was believed.
-        before: u32,
+        recorded: u32,
         /// Version that it holds, where that is known.
-        said: Option<u32>,
+        reported: Option<u32>,
     },
 }
 
 /// What was taken back by one piece of news.
-pub type Changes = Vec<Change>;
+pub type ReplicaChanges = Vec<ReplicaChange>;
 
 /// What follows from a replica's refusal of the version that a request named.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum VersionRefusal {
     /// The same replica may be asked again, with what is believed now.
-    AskAgain,
+    RetrySame,
     /// It holds older weights; another replica may be asked.
-    WentBack(Change),
+    Downgraded(ReplicaChange),
     /// It was refused for something else; another replica may be asked.
     Unexplained,
 }
@@ -57,7 +57,7 @@
 impl Balancer {
     /// Adds a replica, or takes over what changed of it. One that is known with another start has ended, and nothing of
     /// it is inherited.
-    pub fn upsert(&mut self, instance: Instance) -> Option<Change> {
+    pub fn upsert(&mut self, instance: Instance) -> Option<ReplicaChange> {
         let mut earlier = None;
         if let Some(known) = self.replicas.get_mut(&instance.id) {
             if known.instance.start == instance.start {
@@ -78,7 +78,7 @@
         replica.earlier = earlier.as_ref().map(|one| (one.start, one.is_draining));
         self.by_key.insert(replica.key.0, id.clone());
         self.replicas.insert(id, replica);
-        earlier.map(|earlier| Change::Replaced { earlier, start })
+        earlier.map(|earlier| ReplicaChange::Replaced { previous: earlier, start })
     }
 
     /// Forgets a replica.
@@ -108,10 +108,10 @@
     }
 
     /// Takes what the leader knows of a replica. A status of another incarnation counts nothing for this one.
-    pub fn set_status(&mut self, status: &InstanceStatus) -> Changes {
+    pub fn set_status(&mut self, status: &InstanceStatus) -> ReplicaChanges {
         let known = self.replicas.get_mut(&status.id);
         let Some(replica) = known.filter(|one| one.instance.start == status.start) else {
-            return Changes::new();
+            return ReplicaChanges::new();
         };
         replica.availability = status.availability;
         replica.went_back_until = Time::ZERO;
@@ -119,7 +119,7 @@
             for loaded in &status.models {
                 replica.note_version(&loaded.model, loaded.version);
             }
-            return Changes::new();
+            return ReplicaChanges::new();
         }
         replica.correction = status.correction;
         let before = std::mem::replace(&mut replica.models, status.models.clone());
@@ -131,7 +131,7 @@
     }
 
     /// Takes the newest version named for each model. A member that lags tells an older one.
-    pub fn set_named(&mut self, weights: &[LoadedModel], now: Time) {
+    pub fn set_published(&mut self, weights: &[LoadedModel], now: Time) {
         for loaded in weights {
             let known = self.named.entry(loaded.model.clone()).or_default();
             if loaded.version > *known {
@@ -142,7 +142,7 @@
     }
 
     /// Takes the oldest version of each model's weights that may begin on requests; it only rises.
-    pub fn set_oldest(&mut self, weights: &[LoadedModel]) {
+    pub fn set_min_versions(&mut self, weights: &[LoadedModel]) {
         for loaded in weights {
             let known = self.oldest.entry(loaded.model.clone()).or_default();
             *known = loaded.version.max(*known);
@@ -186,37 +186,37 @@
     }
 
     /// Notes that a leader with a lease told news.
-    pub fn heard_leader(&mut self, now: Time) {
+    pub fn record_leader_contact(&mut self, now: Time) {
         self.unled.led(now);
     }
 
     /// Sets the bounds on a roll-out.
-    pub fn set_rollout(&mut self, cfg: RolloutSettings) {
+    pub fn set_rollout_settings(&mut self, cfg: RolloutSettings) {
         self.unled.set(cfg);
     }
 
     /// Takes a replica's refusal of the version that a request named, and the version that it says it holds, if it does.
     /// What it is taken for must not be newer weights alone: a replica that started again may hold older ones.
-    pub fn refused_version(
+    pub fn on_version_refused(
         &mut self,
         choice: &Choice,
         model: &str,
         said: Option<u32>,
         now: Time,
-    ) -> Refused {
-        let Some(expected) = choice.expected else { return Refused::Unexplained };
+    ) -> VersionRefusal {
+        let Some(expected) = choice.required_version else { return VersionRefusal::Unexplained };
         let named = self.named(Some(model));
-        let Some(replica) = self.chosen_mut(choice) else { return Refused::Unexplained };
+        let Some(replica) = self.chosen_mut(choice) else { return VersionRefusal::Unexplained };
         match said {
-            Some(said) if said == expected => return Refused::Unexplained,
+            Some(said) if said == expected => return VersionRefusal::Unexplained,
             Some(said) if said > expected => {
                 replica.note_version(model, said);
-                return Refused::AskAgain;
+                return VersionRefusal::RetrySame;
             }
             // Only the named one is left to name, or none where none was.
             None if named.is_none_or(|named| named > expected) => {
                 replica.forget_version(model);
-                return Refused::AskAgain;
+                return VersionRefusal::RetrySame;
             }
             _ => {}
         }
@@ -224,8 +224,8 @@
         if let Some(said) = said {
             replica.note_version(model, said);
         }
-        replica.went_back_until = now + WENT_BACK_PAUSE;
+        replica.went_back_until = now + DOWNGRADE_PAUSE;
         let before = LoadedModel { model: model.to_owned(), version: expected };
-        Refused::WentBack(replica.went_back_from(&before, said))
+        VersionRefusal::Downgraded(replica.went_back_from(&before, said))
     }
 }
--- a/crates/gateway/src/balancer/mod.rs
+++ b/crates/gateway/src/balancer/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Balancer`] lists candidates with what each would cost, and the policies choose. For prompts
 //! the cost is that of reading what the replica lacks; who holds what and how much waits where is
-//! known from this node's own requests and from the [`LoadNews`] of other nodes. Prompts that
+//! known from this node's own requests and from the [`LoadUpdate`] of other nodes. Prompts that
 //! nobody is known to hold meet at their homes, which all nodes find alike.
 
 mod candidates;
@@ -26,8 +26,8 @@
 pub use choice::{Choice, ChoiceRequest};
 use cost::PREFILL_PRIOR;
 use holders::Holders;
-pub use incarnations::{Change, Changes, Refused, WENT_BACK_PAUSE};
-pub use news::{LoadNews, PromptEvent, TOLD_TOKENS};
+pub use incarnations::{DOWNGRADE_PAUSE, ReplicaChange, ReplicaChanges, VersionRefusal};
+pub use news::{LoadUpdate, MIN_UPDATE_TOKENS, PromptEvent};
 pub(crate) use pushback::key_of;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -97,7 +97,7 @@
     }
 
     /// Sets the age up to which a replica almost surely holds what it was seen to read or use.
-    pub fn set_surely_kept(&mut self, age: Duration) {
+    pub fn set_reliable_cache_age(&mut self, age: Duration) {
         self.surely_kept = age;
     }
 
@@ -113,11 +113,11 @@
         now: Time,
         policies: &mut PolicyTable,
     ) -> Option<Choice> {
-        self.choose_within(request, None, now, policies)
+        self.choose_in_shard(request, None, now, policies)
     }
 
     /// Chooses a replica of one shard, or of the whole service.
-    pub(crate) fn choose_within(
+    pub(crate) fn choose_in_shard(
         &mut self,
         request: &ChoiceRequest<'_>,
         shard: Option<Shard>,
@@ -146,10 +146,10 @@
             estimate_ms: candidate.estimate_ms(),
             policy,
             home_rank: candidate.home_rank,
-            is_clear: replica.waiting_tokens(now) == 0,
-            taken_share: replica.taken_share(now),
+            has_empty_queue: replica.waiting_tokens(now) == 0,
+            slot_utilization: replica.taken_share(now),
             version: self.version_to_name(replica.version(request.model), request, now),
-            expected: self.expected(replica.version(request.model), request, now),
+            required_version: self.expected(replica.version(request.model), request, now),
             source: source.map(|source| source.address),
             save_to: None,
             limit: self.limits.limit(replica.key.0),
@@ -171,7 +171,7 @@
     /// The store to which the chosen replica should send the prompt's parts, if any. A replica with
     /// older weights than another one holds is about to load: a run that outlasts the load would save
     /// parts made with the new weights under the old salt.
-    pub fn save(
+    pub fn select_store(
         &mut self,
         choice: &Choice,
         request: &ChoiceRequest<'_>,
@@ -184,8 +184,8 @@
         if choice.version < newest {
             return None;
         }
-        let salt = cache_salt(choice.version?, request.wall);
-        self.stores.save(prompt, shard, &salt, now)
+        let salt = cache_salt(choice.version?, request.isolated_tenant);
+        self.stores.select_for_save(prompt, shard, &salt, now)
     }
 
     /// Whether the policy that decides on the request lets it run.
@@ -197,20 +197,20 @@
     }
 
     /// Whether any replica may be asked; nothing is counted.
-    pub fn has_choice(&self, request: &ChoiceRequest<'_>, now: Time) -> bool {
+    pub fn has_available_replica(&self, request: &ChoiceRequest<'_>, now: Time) -> bool {
         !self.open_replicas(request, None, now).is_empty()
     }
 
     /// What other nodes should know of a prompt. Where each tells all others, short prompts are not
     /// worth a message, nor is their end.
-    pub fn news(
+    pub fn load_update(
         &self,
         choice: &Choice,
         request: &ChoiceRequest<'_>,
         event: PromptEvent,
-    ) -> Option<LoadNews> {
+    ) -> Option<LoadUpdate> {
         let prompt = request.prompt?;
-        let is_long = prompt.prompt_tokens >= TOLD_TOKENS;
+        let is_long = prompt.prompt_tokens >= MIN_UPDATE_TOKENS;
         if !self.has_coordinators && !is_long {
             return None;
         }
@@ -219,14 +219,14 @@
     }
 
     /// What other nodes should know after a prompt ended.
-    pub fn news_of_end(&self, choice: &Choice, event: PromptEvent) -> Option<LoadNews> {
+    pub fn end_update(&self, choice: &Choice, event: PromptEvent) -> Option<LoadUpdate> {
         let is_told = self.has_coordinators && choice.has_prompt;
         is_told.then(|| self.news_of(choice, Vec::new(), event)).flatten()
     }
 
-    fn news_of(&self, choice: &Choice, parts: Vec<u64>, event: PromptEvent) -> Option<LoadNews> {
+    fn news_of(&self, choice: &Choice, parts: Vec<u64>, event: PromptEvent) -> Option<LoadUpdate> {
         let replica = self.chosen(choice)?;
-        Some(LoadNews {
+        Some(LoadUpdate {
             node: 0,
             replica: replica.key.0,
             pending_prefill: replica.pending_prefill,
@@ -238,14 +238,14 @@
     }
 
     /// Takes another node's word.
-    pub fn apply_news(&mut self, news: &LoadNews, now: Time) {
+    pub fn apply_load_update(&mut self, news: &LoadUpdate, now: Time) {
         let Some(id) = self.by_key.get(&news.replica) else { return };
         let Some(replica) = self.replicas.get_mut(id) else { return };
         replica.note_peer(news.node, news.pending_prefill, news.in_flight, now);
         let incarnation: Incarnation = replica.incarnation(news.version);
         match news.event {
             PromptEvent::Sent => self.holders.sent(&news.parts, replica.slot, incarnation, now),
-            PromptEvent::Read => {
+            PromptEvent::Prefilled => {
                 replica.heard_at = now;
                 self.holders.read(&news.parts, replica.slot, incarnation, now);
             }
--- a/crates/gateway/src/balancer/news.rs
+++ b/crates/gateway/src/balancer/news.rs
@@ -3,12 +3,12 @@
 use serde::{Deserialize, Serialize};
 
 /// Fewest prompt tokens to compute of which other nodes are told.
-pub const TOLD_TOKENS: u32 = 1_000;
+pub const MIN_UPDATE_TOKENS: u32 = 1_000;
 
 /// One node's word on its work at a replica. It is whole by itself: one that is lost is made good
 /// by the next.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadNews {
+pub struct LoadUpdate {
     /// Who tells: a hash of the node's address.
     pub node: u64,
     /// Replica: a hash of its incarnation's name.
@@ -31,7 +31,8 @@
     /// It was sent there.
     Sent,
     /// It has been read: its first token came.
-    Read,
+    #[serde(rename = "Read")]
+    Prefilled,
     /// It occupies the replica no more.
     Ended,
     /// The replica failed it.
--- a/crates/gateway/src/balancer/progress.rs
+++ b/crates/gateway/src/balancer/progress.rs
@@ -21,7 +21,7 @@
     }
 
     /// Notes that a request was sent to its choice.
-    pub fn sent(&mut self, choice: &Choice, request: &ChoiceRequest<'_>, now: Time) {
+    pub fn on_sent(&mut self, choice: &Choice, request: &ChoiceRequest<'_>, now: Time) {
         let Some(replica) = self.chosen_mut(choice) else { return };
         replica.in_flight += 1;
         replica.pending_prefill += u64::from(choice.expected_prefill);
@@ -32,7 +32,7 @@
     }
 
     /// Notes the first token of a request, `waited` after it was sent: its prompt is read.
-    pub fn first_token(
+    pub fn on_first_token(
         &mut self,
         choice: &Choice,
         request: &ChoiceRequest<'_>,
@@ -40,10 +40,10 @@
         now: Time,
     ) {
         let waited_ms = waited.as_secs_f64() * 1_000.0;
-        if choice.is_clear && request.prompt.is_some() {
+        if choice.has_empty_queue && request.prompt.is_some() {
             let estimate = self.prefill.entry(request.service.to_owned());
             let estimate = estimate.or_insert_with(|| PrefillEstimator::new(PREFILL_PRIOR));
-            estimate.note(choice.expected_prefill, waited_ms);
+            estimate.record(choice.expected_prefill, waited_ms);
         }
         let expected_ms = f64::from(choice.expected_prefill) / self.prefill_rate(request.service);
         let Some(replica) = self.chosen_mut(choice) else { return };
@@ -59,7 +59,7 @@
 
     /// Notes that a request no longer occupies its choice. `has_first_token` tells whether
     /// [`Balancer::first_token`] was called for it.
-    pub fn ended(&mut self, choice: &Choice, has_first_token: bool) {
+    pub fn on_ended(&mut self, choice: &Choice, has_first_token: bool) {
         let Some(replica) = self.chosen_mut(choice) else { return };
         replica.in_flight = replica.in_flight.saturating_sub(1);
         if !has_first_token {
@@ -75,7 +75,7 @@
     }
 
     /// Takes the version that a replica named with an answer.
-    pub fn saw_version(&mut self, choice: &Choice, model: &str, version: u32) {
+    pub fn record_version(&mut self, choice: &Choice, model: &str, version: u32) {
         if let Some(replica) = self.chosen_mut(choice) {
             replica.note_version(model, version);
         }
@@ -90,13 +90,13 @@
 
     /// Whether a replica must not begin on requests any more: its weights are too old. What runs at an earlier
     /// incarnation is not judged by the next one's weights.
-    pub fn is_barred(&self, choice: &Choice) -> bool {
+    pub fn is_excluded(&self, choice: &Choice) -> bool {
         let replica = self.chosen(choice);
         replica.is_some_and(|replica| replica.availability == Availability::Barred)
     }
 
     /// Whether a replica sent anything after a moment.
-    pub fn was_heard_since(&self, choice: &Choice, since: Time) -> bool {
+    pub fn has_responded_since(&self, choice: &Choice, since: Time) -> bool {
         self.chosen(choice).is_some_and(|replica| replica.heard_at > since)
     }
 
@@ -120,21 +120,21 @@
     }
 
     /// Notes that a replica answered as it should.
-    pub fn succeeded(&mut self, choice: &Choice, now: Time) {
+    pub fn on_success(&mut self, choice: &Choice, now: Time) {
         if let Some(replica) = self.chosen_mut(choice) {
             replica.note_success(now);
         }
     }
 
     /// Notes that a replica failed; it is passed over for a while.
-    pub fn failed(&mut self, choice: &Choice, now: Time) {
+    pub fn on_failure(&mut self, choice: &Choice, now: Time) {
         if let Some(replica) = self.chosen_mut(choice) {
             replica.note_failure(now);
         }
     }
 
     /// Notes that another replica has the address; it is passed over for the longest time.
-    pub fn is_replaced(&mut self, choice: &Choice, now: Time) {
+    pub fn on_address_reused(&mut self, choice: &Choice, now: Time) {
         if let Some(replica) = self.chosen_mut(choice) {
             replica.note_replaced(now);
         }
--- a/crates/gateway/src/balancer/pushback.rs
+++ b/crates/gateway/src/balancer/pushback.rs
@@ -12,19 +12,19 @@
 
 impl Balancer {
     /// Changes how long what replicas ask is believed.
-    pub fn set_pushback(&mut self, cfg: PushbackSettings) {
+    pub fn set_pushback_settings(&mut self, cfg: PushbackSettings) {
         self.pushbacks.set(cfg);
     }
 
     /// Takes what an answer asks that came from where the chosen incarnation was. One that has ended asks nothing of the
     /// next; but what comes after the next one's start is that one's.
-    pub fn hear_pushback(&mut self, choice: &Choice, said: Pushback, now: Time) -> Option<Heard> {
+    pub fn record_pushback(&mut self, choice: &Choice, said: Pushback, now: Time) -> Option<Heard> {
         let name = self.answering(choice, now)?.incarnation_name();
         self.pushbacks.hear(&name, said, now)
     }
 
     /// Takes what an answer says of its replica's limit; the request was sent at `sent_at`.
-    pub fn hear_limit(
+    pub fn record_limit(
         &mut self,
         choice: &Choice,
         limit: Option<RequestLimit>,
@@ -86,8 +86,8 @@
 
     /// Time until the first replica that could otherwise be sent a request has rested, or may be sent one within its limit;
     /// `None` where one may be sent it now, or none of them will.
-    pub fn first_rested(&self, request: &ChoiceRequest<'_>, now: Time) -> Option<Duration> {
-        if self.has_choice(request, now) {
+    pub fn time_until_available(&self, request: &ChoiceRequest<'_>, now: Time) -> Option<Duration> {
+        if self.has_available_replica(request, now) {
             return None;
         }
         let could_serve = |replica: &&Replica| self.could_serve(replica, request, now);
--- a/crates/gateway/src/balancer/replica.rs
+++ b/crates/gateway/src/balancer/replica.rs
@@ -1,6 +1,6 @@
 //! What a node knows of one replica.
 
-use super::{Change, ChoiceRequest};
+use super::{ChoiceRequest, ReplicaChange};
 use std::collections::HashMap;
 use std::time::Duration;
 use topazmount_consensus::Term;
@@ -144,13 +144,13 @@
     }
 
     /// What is told where it holds older weights than was believed.
-    pub(super) fn went_back_from(&self, before: &LoadedModel, said: Option<u32>) -> Change {
-        Change::WentBack {
+    pub(super) fn went_back_from(&self, before: &LoadedModel, said: Option<u32>) -> ReplicaChange {
+        ReplicaChange::Downgraded {
             id: self.instance.id.clone(),
             start: self.instance.start,
             model: before.model.clone(),
-            before: before.version,
-            said,
+            recorded: before.version,
+            reported: said,
         }
     }
 
@@ -158,8 +158,8 @@
     pub(super) fn may_take(&self, request: &ChoiceRequest<'_>) -> bool {
         !self.instance.is_draining
             && self.availability != Availability::Barred
-            && !request.exclude.contains(&self.name)
-            && request.held_to.is_none_or(|name| *name == self.name)
+            && !request.tried.contains(&self.name)
+            && request.pinned_to.is_none_or(|name| *name == self.name)
     }
 
     /// Whether it holds older weights than was believed, as a request found that names a model.
--- a/crates/gateway/src/balancer/sharded.rs
+++ b/crates/gateway/src/balancer/sharded.rs
@@ -3,7 +3,7 @@
 
 use super::choice::shared_of;
 use super::{Balancer, Choice, ChoiceRequest};
-use crate::question::Offer;
+use crate::question::PlacementOffer;
 use crate::shards::Shard;
 use rand::Rng;
 use topazmount_routing::rendezvous_weight;
@@ -45,7 +45,7 @@
     /// prompt that shares nothing belongs nowhere.
     pub(crate) fn shards_for(&mut self, request: &ChoiceRequest<'_>) -> Vec<Shard> {
         let count = self.shard_count(request.service);
-        if count == 0 || request.prompt.is_none() || request.held_to.is_some() {
+        if count == 0 || request.prompt.is_none() || request.pinned_to.is_some() {
             return Vec::new();
         }
         let chain = request.chain();
@@ -82,16 +82,16 @@
     }
 
     /// What a coordinator says of its choice.
-    pub(crate) fn offer(&self, choice: &Choice) -> Option<Offer> {
-        Some(Offer {
+    pub(crate) fn offer(&self, choice: &Choice) -> Option<PlacementOffer> {
+        Some(PlacementOffer {
             replica: self.chosen(choice)?.key.0,
             expected_prefill: choice.expected_prefill,
             known_tokens: choice.known_tokens,
             estimate_ms: choice.estimate_ms,
             policy: choice.policy as u32,
             home_rank: choice.home_rank,
-            is_clear: choice.is_clear,
-            taken_share: choice.taken_share,
+            has_empty_queue: choice.has_empty_queue,
+            slot_utilization: choice.slot_utilization,
             version: choice.version,
             source: choice.source.clone(),
             save_to: choice.save_to.clone(),
@@ -100,9 +100,9 @@
 
     /// The choice that a coordinator's offer makes; none where this node knows that the replica must
     /// not be asked.
-    pub(crate) fn adopt(
+    pub(crate) fn accept_offer(
         &self,
-        offer: &Offer,
+        offer: &PlacementOffer,
         request: &ChoiceRequest<'_>,
         now: Time,
     ) -> Option<Choice> {
@@ -124,10 +124,10 @@
             estimate_ms: offer.estimate_ms,
             policy: offer.policy as usize,
             home_rank: offer.home_rank,
-            is_clear: offer.is_clear,
-            taken_share: offer.taken_share,
+            has_empty_queue: offer.has_empty_queue,
+            slot_utilization: offer.slot_utilization,
             version: self.version_to_name(known.max(offer.version), request, now),
-            expected: self.expected(known.max(offer.version), request, now),
+            required_version: self.expected(known.max(offer.version), request, now),
             source: offer.source.clone().filter(|_| is_same_version),
             save_to: offer.save_to.clone().filter(|_| is_same_version),
             limit: self.limits.limit(replica.key.0),
--- a/crates/gateway/src/balancer/view.rs
+++ b/crates/gateway/src/balancer/view.rs
@@ -72,7 +72,8 @@
         let versions: BTreeSet<u32> =
             serving.filter_map(|one| one.version(request.model)).collect();
         let found = versions.into_iter().filter_map(|version| {
-            let stored = self.stores.find(prompt, shard, &cache_salt(version, request.wall))?;
+            let stored =
+                self.stores.find(prompt, shard, &cache_salt(version, request.isolated_tenant))?;
             (stored.parts > 0).then_some((version, stored))
         });
         found.collect()
--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -36,13 +36,13 @@
 
 impl RetryBudget {
     /// Counts a request at its first attempt.
-    pub fn request(&mut self, now: Time, settings: &BudgetSettings) {
+    pub fn record_request(&mut self, now: Time, settings: &BudgetSettings) {
         forget(&mut self.requests, now, settings.window);
         self.requests.push_back(now);
     }
 
     /// Asks for one repeat, of a fleet of `nodes` nodes; counts it when it is allowed.
-    pub fn repeat(&mut self, now: Time, settings: &BudgetSettings, nodes: usize) -> bool {
+    pub fn try_retry(&mut self, now: Time, settings: &BudgetSettings, nodes: usize) -> bool {
         forget(&mut self.requests, now, settings.window);
         forget(&mut self.repeats, now, settings.window);
         let share = settings.slack / nodes.max(1) as f64;
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -55,7 +55,7 @@
 
 impl Route {
     /// Whether a request that may have run may be sent again.
-    pub fn is_repeatable(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
             RouteKind::NonIdempotent => false,
@@ -84,12 +84,12 @@
 
 impl EngineParameters {
     /// Duration of a move of so many tokens within a zone, in milliseconds.
-    pub fn move_ms(&self, tokens: u32) -> f64 {
-        self.move_ms_over(tokens, self.link_mbps)
+    pub fn transfer_ms(&self, tokens: u32) -> f64 {
+        self.transfer_ms_over(tokens, self.link_mbps)
     }
 
     /// The same over another link, in megabits a second.
-    pub fn move_ms_over(&self, tokens: u32, link_mbps: f64) -> f64 {
+    pub fn transfer_ms_over(&self, tokens: u32, link_mbps: f64) -> f64 {
         let bytes_per_ms = link_mbps * BYTES_PER_MBPS_MS;
         if bytes_per_ms > 0.0 { f64::from(tokens) * self.token_bytes / bytes_per_ms } else { 0.0 }
     }
@@ -173,7 +173,7 @@
 
 /// Why a catalog is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum CatalogProblem {
+pub enum CatalogError {
     /// The document can't be read.
     #[error("the document can't be read: {0}")]
     Unreadable(String),
@@ -187,7 +187,7 @@
     },
     /// Two routes share host and prefix.
     #[error("two routes share host {host} and prefix {path_prefix}")]
-    SamePlace {
+    DuplicateRoute {
         /// Host.
         host: String,
         /// Prefix.
@@ -195,16 +195,16 @@
     },
     /// A route's weights add up to nothing.
     #[error("the weights of route {0} add up to 0")]
-    NoWeight(String),
+    ZeroWeight(String),
     /// A route has no time.
     #[error("route {0} has a timeout of 0")]
-    NoTimeout(String),
+    ZeroTimeout(String),
     /// Two services share a name.
     #[error("two services are named {0}")]
-    SameService(String),
+    DuplicateService(String),
     /// Two tenants share a key.
     #[error("tenants {0} and {1} share a key")]
-    SharedKey(String, String),
+    DuplicateKey(String, String),
 }
 
 /// A checked catalog.
@@ -223,8 +223,8 @@
     /// Checks the parts as a whole.
     ///
     /// # Errors
-    /// The first [`CatalogProblem`] found.
-    pub fn new(parts: CatalogParts) -> Result<Self, CatalogProblem> {
+    /// The first [`CatalogError`] found.
+    pub fn new(parts: CatalogParts) -> Result<Self, CatalogError> {
         let services = index_services(&parts.services)?;
         for route in &parts.routes {
             check_route(route, &services)?;
@@ -287,26 +287,26 @@
     }
 }
 
-fn index_services(services: &[Service]) -> Result<BTreeMap<String, usize>, CatalogProblem> {
+fn index_services(services: &[Service]) -> Result<BTreeMap<String, usize>, CatalogError> {
     let mut index = BTreeMap::new();
     for (position, service) in services.iter().enumerate() {
         if index.insert(service.name.clone(), position).is_some() {
-            return Err(CatalogProblem::SameService(service.name.clone()));
+            return Err(CatalogError::DuplicateService(service.name.clone()));
         }
     }
     Ok(index)
 }
 
-fn check_route(route: &Route, services: &BTreeMap<String, usize>) -> Result<(), CatalogProblem> {
+fn check_route(route: &Route, services: &BTreeMap<String, usize>) -> Result<(), CatalogError> {
     if route.timeout.is_zero() {
-        return Err(CatalogProblem::NoTimeout(route.name.clone()));
+        return Err(CatalogError::ZeroTimeout(route.name.clone()));
     }
     let total: u64 = route.split.iter().map(|part| u64::from(part.weight)).sum();
     if total == 0 {
-        return Err(CatalogProblem::NoWeight(route.name.clone()));
+        return Err(CatalogError::ZeroWeight(route.name.clone()));
     }
     match route.split.iter().find(|part| !services.contains_key(&part.service)) {
-        Some(part) => Err(CatalogProblem::UnknownService {
+        Some(part) => Err(CatalogError::UnknownService {
             route: route.name.clone(),
             service: part.service.clone(),
         }),
@@ -314,12 +314,12 @@
     }
 }
 
-fn index_hosts(routes: &[Route]) -> Result<HashMap<String, Vec<usize>>, CatalogProblem> {
+fn index_hosts(routes: &[Route]) -> Result<HashMap<String, Vec<usize>>, CatalogError> {
     let mut hosts: HashMap<String, Vec<usize>> = HashMap::new();
     for (position, route) in routes.iter().enumerate() {
         let on_host = hosts.entry(route.host.to_ascii_lowercase()).or_default();
         if on_host.iter().any(|other| routes[*other].path_prefix == route.path_prefix) {
-            return Err(CatalogProblem::SamePlace {
+            return Err(CatalogError::DuplicateRoute {
                 host: route.host.clone(),
                 path_prefix: route.path_prefix.clone(),
             });
@@ -332,14 +332,14 @@
     Ok(hosts)
 }
 
-fn index_keys(tenants: &[Tenant]) -> Result<HashMap<String, usize>, CatalogProblem> {
+fn index_keys(tenants: &[Tenant]) -> Result<HashMap<String, usize>, CatalogError> {
     let mut keys: HashMap<String, usize> = HashMap::new();
     for (position, tenant) in tenants.iter().enumerate() {
         for key in &tenant.api_keys {
             let earlier = keys.insert(key.clone(), position);
             if let Some(other) = earlier.filter(|other| *other != position) {
                 let first = tenants[other].name.clone();
-                return Err(CatalogProblem::SharedKey(first, tenant.name.clone()));
+                return Err(CatalogError::DuplicateKey(first, tenant.name.clone()));
             }
         }
     }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -16,7 +16,7 @@
 /// request for news is held. Until then control knows better, since it knows who else ran at a replica.
 const ALONE_AFTER: Duration = Duration::from_secs(2);
 /// Crashes and completions that are told at a time, 2.2 KB at most; the oldest are left out.
-const MOST_TOLD: usize = 64;
+const MAX_NOTES: usize = 64;
 /// How long a request is suspected after it broke off, unless it is known that its replica lives or has ended: the
 /// silence after which control gives a replica up, 5 s, and time for the word of it.
 const SUSPECTED_FOR: Duration = Duration::from_secs(8);
@@ -58,7 +58,7 @@
 /// What one gateway knows of crashes. Invariant: a request that it saw run well is told to control as such for as long
 /// as its crashes would be.
 #[derive(Default)]
-pub struct Crashes {
+pub struct CrashTracker {
     /// What control says.
     blocked: HashSet<RequestDigest>,
     /// When control was heard last.
@@ -71,7 +71,7 @@
     completed: Completed,
 }
 
-impl Crashes {
+impl CrashTracker {
     /// Whether a request must not be sent to any replica.
     pub fn is_blocked(&self, request: RequestDigest, now: Time) -> bool {
         let is_alone = now >= self.heard_at + ALONE_AFTER;
@@ -79,7 +79,7 @@
     }
 
     /// Notes that a member of control vouched for what it tells.
-    pub fn heard(&mut self, now: Time) {
+    pub fn record_control_contact(&mut self, now: Time) {
         self.heard_at = self.heard_at.max(now);
     }
 
@@ -90,7 +90,7 @@
 
     /// Notes that the connection broke on which a replica had had a request for so long. Whether the replica has ended is
     /// often known later: its listener may outlive its worker, and its next life may listen at once.
-    pub fn broke(
+    pub fn on_connection_broken(
         &mut self,
         request: RequestDigest,
         incarnation: &str,
@@ -112,7 +112,7 @@
 
     /// Notes that a replica has ended without a word: what broke off at it counts as crashes. Returns for how many
     /// requests.
-    pub fn ended(&mut self, incarnation: &str, now: Time) -> usize {
+    pub fn on_replica_ended(&mut self, incarnation: &str, now: Time) -> usize {
         let suspected = std::mem::take(&mut self.suspected);
         let (ended, others): (VecDeque<Suspicion>, VecDeque<Suspicion>) =
             suspected.into_iter().partition(|one| one.incarnation == incarnation);
@@ -120,18 +120,18 @@
         let fresh = ended.iter().filter(|one| now < one.broke_at + SUSPECTED_FOR);
         let count = fresh.clone().count();
         for one in fresh {
-            self.crashed(one.request, incarnation, one.ran_for, one.broke_at);
+            self.record_crash(one.request, incarnation, one.ran_for, one.broke_at);
         }
         count
     }
 
     /// Notes that a replica answered what was sent to it at a moment: it outlived what broke off before.
-    pub fn acquit(&mut self, incarnation: &str, sent_at: Time) {
+    pub fn clear_suspicion(&mut self, incarnation: &str, sent_at: Time) {
         self.suspected.retain(|one| one.incarnation != incarnation || one.broke_at >= sent_at);
     }
 
     /// Notes that a replica crashed, at a moment, that had had a request for so long.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         request: RequestDigest,
         incarnation: &str,
@@ -146,7 +146,7 @@
     }
 
     /// Notes that a request ran to its end. Returns whether control should hear of it at once.
-    pub fn completed(&mut self, request: RequestDigest, now: Time) -> bool {
+    pub fn record_completion(&mut self, request: RequestDigest, now: Time) -> bool {
         self.completed.add(request, now);
         if !self.seen.iter().any(|(_, note)| note.request == request) {
             return false;
@@ -196,7 +196,7 @@
 
 /// Leaves out what is old, and what is more than can be told.
 fn trim<T>(entries: &mut VecDeque<(Time, T)>, now: Time) {
-    while entries.front().is_some_and(|(at, _)| *at + TOLD_FOR < now) || entries.len() > MOST_TOLD {
+    while entries.front().is_some_and(|(at, _)| *at + TOLD_FOR < now) || entries.len() > MAX_NOTES {
         entries.pop_front();
     }
 }
--- a/crates/gateway/src/estimator.rs
+++ b/crates/gateway/src/estimator.rs
@@ -44,7 +44,7 @@
 
     /// Notes that a prompt of which `tokens` had to be read had its first token after `waited_ms`, at
     /// a replica where nothing else was known to wait.
-    pub fn note(&mut self, tokens: u32, waited_ms: f64) {
+    pub fn record(&mut self, tokens: u32, waited_ms: f64) {
         if !waited_ms.is_finite() || waited_ms <= 0.0 {
             return;
         }
--- a/crates/gateway/src/knowledge.rs
+++ b/crates/gateway/src/knowledge.rs
@@ -4,15 +4,15 @@
 mod placement;
 mod replicas;
 
-pub use limits::LimitNews;
+pub use limits::LimitUpdate;
 
-use crate::balancer::{Balancer, Changes, Choice, ChoiceRequest, SURELY_KEPT};
+use crate::balancer::{Balancer, Choice, ChoiceRequest, ReplicaChanges, SURELY_KEPT};
 use crate::budget::{BudgetSettings, RetryBudget};
 use crate::catalog::{Catalog, Route, Tenant};
-use crate::connections::{ConnectionSettings, Connections};
-use crate::crashes::Crashes;
+use crate::connections::{ConnectionReuse, ConnectionSettings};
+use crate::crashes::CrashTracker;
 use crate::quota::{QuotaSettings, Quotas};
-use crate::shards::Gateways;
+use crate::shards::GatewayList;
 use crate::split::Splits;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -37,13 +37,13 @@
 pub struct GatewaySettings {
     /// Time after which a removed key is refused by every gateway, in touch or not; `None` where
     /// gateways out of touch may serve on.
-    pub revocation: Option<Duration>,
+    pub max_revocation_delay: Option<Duration>,
     /// The fleet's retry budget.
     pub budget: BudgetSettings,
     /// Kept connections to replicas.
     pub connections: ConnectionSettings,
     /// Age up to which a replica almost surely holds what it was seen to read or use.
-    pub surely_kept: Duration,
+    pub reliable_cache_age: Duration,
     /// How far tenants' limits may be exceeded.
     pub quota: QuotaSettings,
     /// How long what replicas ask is believed.
@@ -55,10 +55,10 @@
 impl Default for GatewaySettings {
     fn default() -> Self {
         GatewaySettings {
-            revocation: Some(Duration::from_secs(5)),
+            max_revocation_delay: Some(Duration::from_secs(5)),
             budget: BudgetSettings::default(),
             connections: ConnectionSettings::default(),
-            surely_kept: SURELY_KEPT,
+            reliable_cache_age: SURELY_KEPT,
             quota: QuotaSettings::default(),
             pushback: PushbackSettings::default(),
             rollout: RolloutSettings::default(),
@@ -82,7 +82,7 @@
 /// A gateway's knowledge. Invariants: the catalog's version only rises; a keyed request is
 /// admitted only while word of a member that could vouch for the newest catalog is younger than
 /// the bound on revoked keys.
-pub struct Knowledge {
+pub struct GatewayState {
     settings: GatewaySettings,
     catalog: Option<Arc<Catalog>>,
     seen: Seen,
@@ -92,7 +92,7 @@
     /// When a request first met it unconfirmed, since it was confirmed last.
     unconfirmed_since: Option<Time>,
     gateway_count: usize,
-    gateways: Gateways,
+    gateways: GatewayList,
     /// Where the gateways of the leader's list take datagrams, by their addresses for clients.
     named: BTreeMap<String, SocketAddr>,
     /// Port at which all gateways take datagrams of others.
@@ -101,18 +101,18 @@
     splits: Splits,
     rng: ChaCha8Rng,
     budgets: HashMap<String, RetryBudget>,
-    connections: Connections,
-    crashes: Crashes,
+    connections: ConnectionReuse,
+    crashes: CrashTracker,
     quotas: Quotas,
     policies: PolicyTable,
     /// Where gateways take datagrams that were named since the last look.
     newcomers: Vec<SocketAddr>,
 }
 
-impl Knowledge {
+impl GatewayState {
     /// A gateway in a zone that knows nothing yet.
     pub fn new(zone: &str, settings: GatewaySettings, seed: u64) -> Self {
-        let mut knowledge = Knowledge {
+        let mut knowledge = GatewayState {
             settings,
             catalog: None,
             seen: Seen::default(),
@@ -120,15 +120,15 @@
             confirmed_until: Time::ZERO,
             unconfirmed_since: None,
             gateway_count: 0,
-            gateways: Gateways::default(),
+            gateways: GatewayList::default(),
             named: BTreeMap::new(),
             own_port: 0,
             balancer: Balancer::new(zone, seed),
             splits: Splits::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             budgets: HashMap::new(),
-            connections: Connections::default(),
-            crashes: Crashes::default(),
+            connections: ConnectionReuse::default(),
+            crashes: CrashTracker::default(),
             quotas: Quotas::default(),
             policies: PolicyTable::default(),
             newcomers: Vec::new(),
@@ -145,15 +145,15 @@
     /// Changes the settings.
     pub fn set_settings(&mut self, settings: GatewaySettings) {
         self.settings = settings;
-        self.connections.set(settings.connections);
-        self.balancer.set_surely_kept(settings.surely_kept);
+        self.connections.set_settings(settings.connections);
+        self.balancer.set_reliable_cache_age(settings.reliable_cache_age);
         self.quotas.set(settings.quota);
-        self.balancer.set_pushback(settings.pushback);
-        self.balancer.set_rollout(settings.rollout);
+        self.balancer.set_pushback_settings(settings.pushback);
+        self.balancer.set_rollout_settings(settings.rollout);
     }
 
     /// What it has seen, for the next request for news.
-    pub fn seen(&self) -> Seen {
+    pub fn seen_versions(&self) -> Seen {
         self.seen
     }
 
@@ -168,12 +168,12 @@
     }
 
     /// Decides on kept connections to replicas.
-    pub fn connections(&mut self) -> &mut Connections {
+    pub fn connections(&mut self) -> &mut ConnectionReuse {
         &mut self.connections
     }
 
     /// Requests under which replicas crash.
-    pub fn crashes(&mut self) -> &mut Crashes {
+    pub fn crashes(&mut self) -> &mut CrashTracker {
         &mut self.crashes
     }
 
@@ -185,7 +185,7 @@
         now: Time,
     ) -> (Vec<RequestDigest>, Vec<RequestDigest>) {
         if view.staleness.is_some() {
-            self.crashes.heard(now);
+            self.crashes.record_control_contact(now);
         }
         match &view.blocked {
             Some((changes, blocked)) if *changes > self.seen.blocked => {
@@ -198,7 +198,7 @@
 
     /// Connections at rest that this gateway may keep to one replica of a service: half of those
     /// that the replica takes, shared by all gateways.
-    pub fn most_kept(&self, service: &str) -> usize {
+    pub fn max_pooled_connections(&self, service: &str) -> usize {
         let service = self.catalog.as_ref().and_then(|catalog| catalog.service(service));
         let most = service.map_or(0, |service| service.max_connections as usize);
         (most / 2 / self.gateway_count.max(1)).max(1)
@@ -215,14 +215,14 @@
     }
 
     /// Notes the first token of a request, `waited` after it was sent.
-    pub fn first_token(
+    pub fn on_first_token(
         &mut self,
         choice: &Choice,
         request: &ChoiceRequest<'_>,
         waited: Duration,
         now: Time,
     ) {
-        self.balancer.first_token(choice, request, waited, now);
+        self.balancer.on_first_token(choice, request, waited, now);
         self.policies.first_token(choice.policy, waited.as_secs_f64() * 1_000.0);
         if let Some(prompt) = request.prompt {
             let found = prompt.prompt_tokens.saturating_sub(choice.expected_prefill);
@@ -237,7 +237,12 @@
 
     /// Takes news that was asked for at `asked_at`. `catalog` is the view's document as read by
     /// the dialect, if the view has one that can be read. Returns which beliefs on replicas it took back.
-    pub fn apply(&mut self, view: &FleetView, catalog: Option<Catalog>, asked_at: Time) -> Changes {
+    pub fn apply(
+        &mut self,
+        view: &FleetView,
+        catalog: Option<Catalog>,
+        asked_at: Time,
+    ) -> ReplicaChanges {
         if let Some(catalog) = catalog
             && catalog.version() > self.seen.document
         {
@@ -247,10 +252,10 @@
         }
         let mut changes = self.apply_instances(view);
         if view.is_leased() {
-            self.balancer.heard_leader(asked_at);
+            self.balancer.record_leader_contact(asked_at);
         }
-        self.balancer.set_named(&view.weights, asked_at);
-        self.balancer.set_oldest(&view.oldest_weights);
+        self.balancer.set_published(&view.weights, asked_at);
+        self.balancer.set_min_versions(&view.oldest_weights);
         if let Some((count, statuses)) = &view.statuses {
             self.seen.statuses = *count;
             changes.extend(statuses.iter().flat_map(|status| self.balancer.set_status(status)));
@@ -264,7 +269,7 @@
             self.gateway_count = view.gateway_count as usize;
         }
         if let Some(staleness) = view.staleness {
-            let until = match self.settings.revocation {
+            let until = match self.settings.max_revocation_delay {
                 Some(bound) => asked_at + bound.saturating_sub(staleness + REVOCATION_MARGIN),
                 None => Time::NEVER,
             };
@@ -322,27 +327,31 @@
 
     /// When a client whose request no replica may be sent should come back: when the first one has rested, spread over
     /// half of that time more so that they don't come at one moment; `None` where none rests.
-    pub fn retry_after_rest(&mut self, request: &ChoiceRequest<'_>, now: Time) -> Option<Duration> {
-        let rest = self.balancer.first_rested(request, now)?;
+    pub fn retry_after_pushback(
+        &mut self,
+        request: &ChoiceRequest<'_>,
+        now: Time,
+    ) -> Option<Duration> {
+        let rest = self.balancer.time_until_available(request, now)?;
         let spread = (rest / 2).max(SOON).mul_f64(self.rng.random_range(0.0..1.0));
         Some(rest + spread)
     }
 
     /// Chooses a replica.
     pub fn choose(&mut self, request: &ChoiceRequest<'_>, now: Time) -> Option<Choice> {
-        self.choose_within(request, None, now)
+        self.choose_in_shard(request, None, now)
     }
 
     /// Counts a request for a service.
-    pub fn count_request(&mut self, service: &str, now: Time) {
+    pub fn record_request(&mut self, service: &str, now: Time) {
         let budget = self.budgets.entry(service.to_owned()).or_default();
-        budget.request(now, &self.settings.budget);
+        budget.record_request(now, &self.settings.budget);
     }
 
     /// Asks the budget of a service for one repeat.
-    pub fn may_repeat(&mut self, service: &str, now: Time) -> bool {
+    pub fn try_retry(&mut self, service: &str, now: Time) -> bool {
         let nodes = self.gateway_count;
         let budget = self.budgets.entry(service.to_owned()).or_default();
-        budget.repeat(now, &self.settings.budget, nodes)
+        budget.try_retry(now, &self.settings.budget, nodes)
     }
 }
--- a/crates/gateway/src/knowledge/placement.rs
+++ b/crates/gateway/src/knowledge/placement.rs
@@ -1,36 +1,36 @@
 //! Where gateways are many: who is asked about a prompt, who is told of it, and who follows which store.
 
-use super::Knowledge;
-use crate::balancer::{Choice, ChoiceRequest, LoadNews, PromptEvent};
-use crate::question::{ChoiceQuestion, Offer};
-use crate::shards::{Gateways, Shard};
-use crate::stores::MOST_READERS;
+use super::GatewayState;
+use crate::balancer::{Choice, ChoiceRequest, LoadUpdate, PromptEvent};
+use crate::question::{PlacementOffer, PlacementRequest};
+use crate::shards::{GatewayList, Shard};
+use crate::stores::MAX_STORE_READERS;
 use std::net::SocketAddr;
 use topazmount_control::GatewayNews;
 use topazmount_types::Time;
 
-impl Knowledge {
+impl GatewayState {
     /// Chooses a replica of a shard that this gateway coordinates, or of the whole service.
-    pub fn choose_within(
+    pub fn choose_in_shard(
         &mut self,
         request: &ChoiceRequest<'_>,
         shard: Option<Shard>,
         now: Time,
     ) -> Option<Choice> {
-        let mut choice = self.balancer.choose_within(request, shard, now, &mut self.policies)?;
-        choice.save_to = self.balancer.save(&choice, request, shard, now);
+        let mut choice = self.balancer.choose_in_shard(request, shard, now, &mut self.policies)?;
+        choice.save_to = self.balancer.select_store(&choice, request, shard, now);
         Some(choice)
     }
 
     /// Shards whose coordinators are asked where a prompt should go, in order; none where this gateway
     /// decides by itself.
     pub fn shards_for(&mut self, request: &ChoiceRequest<'_>, now: Time) -> Vec<Shard> {
-        let may_ask = request.engine.is_some() && !self.gateways.is_alone(now);
+        let may_ask = request.engine.is_some() && !self.gateways.is_cut_off(now);
         if may_ask { self.balancer.shards_for(request) } else { Vec::new() }
     }
 
     /// The gateways, and who of them coordinates what.
-    pub fn gateways(&mut self) -> &mut Gateways {
+    pub fn gateways(&mut self) -> &mut GatewayList {
         &mut self.gateways
     }
 
@@ -59,44 +59,49 @@
             }
         }
         self.gateways.set(self.named.values().copied(), now);
-        self.balancer.set_coordinated(self.gateways.are_many(now));
+        self.balancer.set_coordinated(self.gateways.uses_coordinators(now));
     }
 
     /// The question for a request to the coordinator of a shard; `None` where it has no prompt.
-    pub fn question(
+    pub fn placement_request(
         &self,
         request: &ChoiceRequest<'_>,
         shard: Shard,
         now: Time,
-    ) -> Option<ChoiceQuestion> {
+    ) -> Option<PlacementRequest> {
         let unwilling = self.balancer.unwilling(request.service, shard, now);
-        ChoiceQuestion::new(request, shard, &unwilling)
+        PlacementRequest::new(request, shard, &unwilling)
     }
 
     /// Answers another gateway's question about a shard that this one coordinates; `None` where it
     /// knows no replica that may be asked.
-    pub fn answer(&mut self, question: &ChoiceQuestion, now: Time) -> Option<Offer> {
+    pub fn place(&mut self, question: &PlacementRequest, now: Time) -> Option<PlacementOffer> {
         let catalog = self.catalog.clone()?;
         let prompt = question.prompt();
-        let exclude = self.balancer.names_of(&question.exclude);
+        let exclude = self.balancer.names_of(&question.skipped);
         let request = ChoiceRequest {
             service: &question.service,
             tenant: question.tenant,
             prompt: Some(&prompt),
             model: question.model.as_deref(),
             namespace: question.namespace,
-            wall: question.wall.as_deref(),
-            exclude: &exclude,
-            held_to: None,
+            isolated_tenant: question.isolated_tenant.as_deref(),
+            tried: &exclude,
+            pinned_to: None,
             engine: catalog.service(&question.service)?.engine.as_ref(),
         };
-        let choice = self.choose_within(&request, Some(question.shard), now)?;
+        let choice = self.choose_in_shard(&request, Some(question.shard), now)?;
         self.balancer.offer(&choice)
     }
 
     /// The choice that a coordinator's offer makes, if this gateway may follow it.
-    pub fn adopt(&self, offer: &Offer, request: &ChoiceRequest<'_>, now: Time) -> Option<Choice> {
-        self.balancer.adopt(offer, request, now)
+    pub fn accept_offer(
+        &self,
+        offer: &PlacementOffer,
+        request: &ChoiceRequest<'_>,
+        now: Time,
+    ) -> Option<Choice> {
+        self.balancer.accept_offer(offer, request, now)
     }
 
     /// Whether a prompt is better asked for at a further shard.
@@ -105,25 +110,25 @@
     }
 
     /// What others should know of a prompt at its choice, and who, if there is anything to tell.
-    pub fn news(
+    pub fn load_update(
         &self,
         choice: &Choice,
         request: &ChoiceRequest<'_>,
         event: PromptEvent,
         now: Time,
-    ) -> Option<(Vec<SocketAddr>, LoadNews)> {
-        let news = self.balancer.news(choice, request, event)?;
+    ) -> Option<(Vec<SocketAddr>, LoadUpdate)> {
+        let news = self.balancer.load_update(choice, request, event)?;
         Some((self.told_of(choice, now), news))
     }
 
     /// The same after the prompt ended.
-    pub fn news_of_end(
+    pub fn end_update(
         &self,
         choice: &Choice,
         event: PromptEvent,
         now: Time,
-    ) -> Option<(Vec<SocketAddr>, LoadNews)> {
-        let news = self.balancer.news_of_end(choice, event)?;
+    ) -> Option<(Vec<SocketAddr>, LoadUpdate)> {
+        let news = self.balancer.end_update(choice, event)?;
         Some((self.told_of(choice, now), news))
     }
 
@@ -138,17 +143,17 @@
 
     /// Whether this gateway should follow the events of a store, which holds few calls at a time: some
     /// of all gateways do, or the coordinators of the shards whose prompts it keeps.
-    pub fn follows_store(&mut self, address: &str, now: Time) -> bool {
-        if !self.gateways.are_many(now) {
-            return self.gateways.rank(address, now) < MOST_READERS;
+    pub fn should_follow_store(&mut self, address: &str, now: Time) -> bool {
+        if !self.gateways.uses_coordinators(now) {
+            return self.gateways.rank(address, now) < MAX_STORE_READERS;
         }
         let Some(catalog) = self.catalog.clone() else { return false };
         let mut services = catalog.services().iter().filter(|service| service.engine.is_some());
         services.any(|service| {
             let shards = self.balancer.shards_of(&service.name);
             shards.into_iter().any(|shard| {
-                self.balancer.stores().of_shard(shard) == Some(address)
-                    && self.gateways.coordinates(&service.name, shard, now)
+                self.balancer.stores().for_shard(shard) == Some(address)
+                    && self.gateways.is_coordinator(&service.name, shard, now)
             })
         })
     }
--- a/crates/gateway/src/knowledge/replicas.rs
+++ b/crates/gateway/src/knowledge/replicas.rs
@@ -1,12 +1,12 @@
 //! The list of replicas as control tells it, and what each incarnation's end says of requests.
 
-use super::Knowledge;
-use crate::balancer::Changes;
+use super::GatewayState;
+use crate::balancer::ReplicaChanges;
 use std::collections::HashSet;
 use topazmount_control::FleetView;
 use topazmount_types::{Instance, InstanceId, Time, incarnation_name};
 
-impl Knowledge {
+impl GatewayState {
     /// Takes from a view which replicas have ended without a word, before it is applied. Returns the replicas under which
     /// requests had broken off: these are counted as crashes now.
     pub fn confirm_crashes(&mut self, view: &FleetView, now: Time) -> Vec<(InstanceId, usize)> {
@@ -26,10 +26,10 @@
         let mut confirmed = Vec::new();
         for (id, name, was_announced) in ended {
             if was_announced {
-                self.crashes.acquit(&name, Time::NEVER);
+                self.crashes.clear_suspicion(&name, Time::NEVER);
                 continue;
             }
-            let requests = self.crashes.ended(&name, now);
+            let requests = self.crashes.on_replica_ended(&name, now);
             if requests > 0 {
                 confirmed.push((id, requests));
             }
@@ -48,8 +48,8 @@
     }
 
     /// A list of replicas only moves forward: an older one of a member that lags is passed over.
-    pub(super) fn apply_instances(&mut self, view: &FleetView) -> Changes {
-        let mut changes = Changes::new();
+    pub(super) fn apply_instances(&mut self, view: &FleetView) -> ReplicaChanges {
+        let mut changes = ReplicaChanges::new();
         if view.revision <= self.seen.revision {
             return changes;
         }
--- a/crates/gateway/src/lateness.rs
+++ b/crates/gateway/src/lateness.rs
@@ -19,32 +19,32 @@
 
 /// What is known of a prompt at the moment at which it would be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Prospect {
+pub struct TtftEstimate {
     /// Time until its first token at the best replica.
     pub estimate: Duration,
     /// Time since it came.
-    pub spent: Duration,
+    pub elapsed: Duration,
     /// Time within which the first token is in time.
     pub target: Duration,
     /// Rank of its route, 0 is the most urgent.
-    pub rank: u32,
+    pub priority: u32,
     /// Whether nothing waits at that replica to be read.
-    pub is_clear: bool,
+    pub has_empty_queue: bool,
     /// Part of its places that requests take.
-    pub taken_share: f64,
+    pub slot_utilization: f64,
 }
 
-impl Prospect {
+impl TtftEstimate {
     /// How long the client should wait before it comes again, where the prompt should be refused; `spread` is drawn evenly
     /// from 0 to 1. The most urgent are never refused: what runs beside them gives way to them.
-    pub fn wait_if_late(&self, spread: f64) -> Option<Duration> {
-        let is_full = !self.is_clear && self.taken_share >= FULL_SHARE;
-        if self.rank == 0 || !is_full {
+    pub fn retry_delay_if_late(&self, spread: f64) -> Option<Duration> {
+        let is_full = !self.has_empty_queue && self.slot_utilization >= FULL_SHARE;
+        if self.priority == 0 || !is_full {
             return None;
         }
         let limit = self.target.mul_f64(LATE_SHARE);
         let over =
-            (self.estimate + self.spent).checked_sub(limit).filter(|over| !over.is_zero())?;
+            (self.estimate + self.elapsed).checked_sub(limit).filter(|over| !over.is_zero())?;
         // What is ahead is done by then, and one further prompt.
         let wait = over + self.target;
         Some(wait.mul_f64(1.0 - SPREAD + 2.0 * SPREAD * spread))
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -22,24 +22,24 @@
 mod stores;
 
 pub use balancer::{
-    Balancer, Change, Changes, Choice, ChoiceRequest, LoadNews, PromptEvent, Refused, TOLD_TOKENS,
-    WENT_BACK_PAUSE,
+    Balancer, Choice, ChoiceRequest, DOWNGRADE_PAUSE, LoadUpdate, MIN_UPDATE_TOKENS, PromptEvent,
+    ReplicaChange, ReplicaChanges, VersionRefusal,
 };
 pub use budget::{BudgetSettings, RetryBudget};
 pub use catalog::{
-    Catalog, CatalogParts, CatalogProblem, EngineParameters, HttpLimits, Route, RouteKind, Service,
+    Catalog, CatalogError, CatalogParts, EngineParameters, HttpLimits, Route, RouteKind, Service,
     SplitPart, StoreParameters, Tenant,
 };
-pub use connections::{AnswerEnd, ConnectionSettings, Connections, IdleConnection};
-pub use crashes::Crashes;
+pub use connections::{ConnectionReuse, ConnectionSettings, IdleConnection, ResponseEnd};
+pub use crashes::CrashTracker;
 pub use estimator::PrefillEstimator;
-pub use knowledge::{Admission, GatewaySettings, Knowledge, LimitNews};
-pub use lateness::Prospect;
+pub use knowledge::{Admission, GatewaySettings, GatewayState, LimitUpdate};
+pub use lateness::TtftEstimate;
 pub use plan::{AttemptEnd, NextStep, RequestPlan};
 pub use prompt::{Prompt, PromptPart};
-pub use question::{ChoiceQuestion, Offer};
-pub use quota::{GrantAnswer, Granting, LimitUnit, QuotaSettings, STRIPES, StripeId, TenantLimit};
-pub use shards::{Gateways, MOST_TOLD, Shard};
+pub use question::{PlacementOffer, PlacementRequest};
+pub use quota::{GrantResponse, Granter, LimitUnit, QuotaSettings, STRIPES, StripeId, TenantLimit};
+pub use shards::{GatewayList, MAX_BROADCAST_PEERS, Shard};
 pub use stores::{
-    MOST_READERS, StoreChange, StoreEvents, StoreKey, StoredPrompt, Stores, cache_salt,
+    MAX_STORE_READERS, StoreChange, StoreEvents, StoreKey, StoredPrompt, Stores, cache_salt,
 };
--- a/crates/gateway/src/prompt.rs
+++ b/crates/gateway/src/prompt.rs
@@ -35,7 +35,7 @@
 
     /// For each part, a hash of it and of everything before it, under a namespace (tenant wall
     /// and model). Two prompts share a hash only where a replica may share the part.
-    pub fn chain(&self, namespace: u64) -> Vec<u64> {
+    pub fn prefix_hashes(&self, namespace: u64) -> Vec<u64> {
         let mut previous = namespace;
         let link = |part: &PromptPart| {
             let mut hasher = DefaultHasher::new();
--- a/crates/gateway/src/question.rs
+++ b/crates/gateway/src/question.rs
@@ -8,7 +8,7 @@
 
 /// Which replica of a shard should a prompt be sent to?
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ChoiceQuestion {
+pub struct PlacementRequest {
     /// Shard of the service's replicas.
     pub shard: Shard,
     /// Service that the request goes to.
@@ -26,14 +26,16 @@
     /// Hash of what separates caches beside the version of weights.
     pub namespace: u64,
     /// The tenant whose parts are kept from all others, if it is one.
-    pub wall: Option<String>,
+    #[serde(rename = "wall")]
+    pub isolated_tenant: Option<String>,
     /// Hashes of the names of incarnations that were tried already, or want nothing of the asking gateway.
-    pub exclude: Vec<u64>,
+    #[serde(rename = "exclude")]
+    pub skipped: Vec<u64>,
 }
 
 /// The replica that a coordinator names, and what it expects there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Offer {
+pub struct PlacementOffer {
     /// Hash of the name of the replica's incarnation.
     pub replica: u64,
     /// Prompt tokens that it is expected to compute.
@@ -47,9 +49,11 @@
     /// Place in the order of the prompt's homes.
     pub home_rank: u32,
     /// Whether nothing else was known to wait there to be read.
-    pub is_clear: bool,
+    #[serde(rename = "is_clear")]
+    pub has_empty_queue: bool,
     /// Part of its places that requests were known to take.
-    pub taken_share: f64,
+    #[serde(rename = "taken_share")]
+    pub slot_utilization: f64,
     /// Version of the model's weights that it is believed to hold.
     pub version: Option<u32>,
     /// Who probably holds more of the prompt.
@@ -58,14 +62,14 @@
     pub save_to: Option<String>,
 }
 
-impl ChoiceQuestion {
+impl PlacementRequest {
     /// The question for a request; `None` where it has no prompt. `unwilling` names the incarnations of the shard that the
     /// asking gateway must not call.
     pub fn new(request: &ChoiceRequest<'_>, shard: Shard, unwilling: &[String]) -> Option<Self> {
         let prompt = request.prompt?;
-        let names = request.exclude.iter().chain(unwilling);
+        let names = request.tried.iter().chain(unwilling);
         let exclude = names.map(|name| ReplicaId::from_name(name).0);
-        Some(ChoiceQuestion {
+        Some(PlacementRequest {
             shard,
             service: request.service.to_owned(),
             tenant: request.tenant,
@@ -74,8 +78,8 @@
             output_tokens: prompt.output_tokens,
             model: request.model.map(str::to_owned),
             namespace: request.namespace,
-            wall: request.wall.map(str::to_owned),
-            exclude: exclude.collect(),
+            isolated_tenant: request.isolated_tenant.map(str::to_owned),
+            skipped: exclude.collect(),
         })
     }
 
--- a/crates/gateway/src/quota/granter.rs
+++ b/crates/gateway/src/quota/granter.rs
@@ -2,7 +2,7 @@
 
 use super::authority::Held;
 use super::limit::Allowance;
-use super::{GrantAnswer, StripeId};
+use super::{GrantResponse, StripeId};
 use std::collections::HashMap;
 use std::time::Duration;
 use topazmount_admission::TokenBucket;
@@ -15,11 +15,11 @@
 
 /// When those that are refused are told to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Refused {
+pub(super) enum RetryOrder {
     /// One after another, each when those before it have been served.
-    InTurn,
+    Sequential,
     /// When there is enough for the first: they may take something else meanwhile, and leave their turn unused.
-    Together,
+    Simultaneous,
 }
 
 #[derive(Clone, Debug)]
@@ -47,23 +47,23 @@
         }
     }
 
-    fn take(&mut self, amount: f64, refused: Refused, now: Time) -> GrantAnswer {
+    fn take(&mut self, amount: f64, refused: RetryOrder, now: Time) -> GrantResponse {
         let passed = now.since(self.used_at).as_secs_f64();
         self.promised = (self.promised - self.allowance.rate * passed).max(0.0);
         self.used_at = now;
         if amount <= self.bucket.level(now) {
             self.bucket.charge(amount, now);
-            return GrantAnswer::Granted;
+            return GrantResponse::Granted;
         }
         if amount > self.allowance.burst {
-            return GrantAnswer::Over(LONGEST_WAIT);
+            return GrantResponse::LimitExceeded(LONGEST_WAIT);
         }
         let lacking = amount + self.promised - self.bucket.level(now);
-        if refused == Refused::InTurn {
+        if refused == RetryOrder::Sequential {
             self.promised += amount;
         }
         let wait = Duration::try_from_secs_f64(lacking / self.allowance.rate);
-        GrantAnswer::Over(wait.unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT))
+        GrantResponse::LimitExceeded(wait.unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT))
     }
 }
 
@@ -75,20 +75,20 @@
 
 /// The stripes that this gateway has granted of.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Granter {
+pub(super) struct GrantBuckets {
     stripes: HashMap<StripeId, Granted>,
 }
 
-impl Granter {
+impl GrantBuckets {
     pub(super) fn grant(
         &mut self,
         stripe: StripeId,
         allowance: Allowance,
         held: Held,
         amount: u32,
-        refused: Refused,
+        refused: RetryOrder,
         now: Time,
-    ) -> GrantAnswer {
+    ) -> GrantResponse {
         let granted =
             self.stripes.entry(stripe).or_insert_with(|| Granted::new(allowance, held, now));
         // Another gateway may have granted between the last use and the time since which this one is the first.
--- a/crates/gateway/src/quota/limit.rs
+++ b/crates/gateway/src/quota/limit.rs
@@ -29,7 +29,7 @@
     /// A request counts its tokens, in and out; one that does not tell them counts `untold`.
     Tokens {
         /// Tokens of a request that does not tell them.
-        untold: u32,
+        unspecified: u32,
     },
 }
 
@@ -46,10 +46,10 @@
 
 impl TenantLimit {
     /// What a request counts that told so many tokens.
-    pub fn amount(&self, tokens: Option<u32>) -> u32 {
+    pub fn cost(&self, tokens: Option<u32>) -> u32 {
         match self.unit {
             LimitUnit::Requests => 1,
-            LimitUnit::Tokens { untold } => tokens.unwrap_or(untold),
+            LimitUnit::Tokens { unspecified: untold } => tokens.unwrap_or(untold),
         }
     }
 }
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -14,7 +14,7 @@
 mod limit;
 
 use authority::Authority;
-use granter::{Granter, Refused};
+use granter::{GrantBuckets, RetryOrder};
 use limit::Allowance;
 pub use limit::{LimitUnit, QuotaSettings, STRIPES, TenantLimit};
 use serde::{Deserialize, Serialize};
@@ -54,13 +54,15 @@
 
 /// What a granter says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum GrantAnswer {
+pub enum GrantResponse {
     /// The request may run.
     Granted,
     /// The stripe is used up; it has enough again after this time, if nobody else takes it.
-    Over(Duration),
+    #[serde(rename = "Over")]
+    LimitExceeded(Duration),
     /// It may not grant of this stripe.
-    NotHolder,
+    #[serde(rename = "NotHolder")]
+    NotGranter,
 }
 
 /// Whose limit a grant is of.
@@ -74,11 +76,11 @@
 
 /// Where a grant can be had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Granting {
+pub enum Granter {
     /// From this gateway itself.
-    Own,
+    Local,
     /// From another one.
-    Other(SocketAddr),
+    Remote(SocketAddr),
 }
 
 /// What one gateway knows of limits, grants of them, and spends without a grant.
@@ -88,7 +90,7 @@
     authority: Authority,
     own: Option<ReplicaId>,
     addresses: HashMap<ReplicaId, SocketAddr>,
-    granter: Granter,
+    granter: GrantBuckets,
     ungranted: HashMap<u64, TokenBucket>,
     silent_until: HashMap<(LimitOwner, SocketAddr), Time>,
 }
@@ -133,15 +135,15 @@
         owner: LimitOwner,
         stripe: StripeId,
         now: Time,
-    ) -> Option<Granting> {
+    ) -> Option<Granter> {
         let first = self.authority.first(stripe.key(), now)?;
         if self.own == Some(first) {
-            return Some(Granting::Own);
+            return Some(Granter::Local);
         }
         let address = self.addresses.get(&first)?;
         let silent_until = self.silent_until.get(&(owner, *address));
         let is_silent = silent_until.is_some_and(|until| now < *until);
-        (!is_silent).then_some(Granting::Other(*address))
+        (!is_silent).then_some(Granter::Remote(*address))
     }
 
     pub(crate) fn note_silent(&mut self, owner: LimitOwner, address: SocketAddr, now: Time) {
@@ -156,12 +158,12 @@
         limit: &TenantLimit,
         amount: u32,
         now: Time,
-    ) -> GrantAnswer {
+    ) -> GrantResponse {
         let Some(held) = self.authority.holds(stripe.key(), now) else {
-            return GrantAnswer::NotHolder;
+            return GrantResponse::NotGranter;
         };
         let allowance = self.settings.stripe(limit, stripe.stripe);
-        self.granter.grant(stripe, allowance, held, amount, Refused::InTurn, now)
+        self.granter.grant(stripe, allowance, held, amount, RetryOrder::Sequential, now)
     }
 
     /// Grants one request to a replica that names a limit, if this gateway may.
@@ -170,12 +172,19 @@
         incarnation: u64,
         limit: RequestLimit,
         now: Time,
-    ) -> GrantAnswer {
+    ) -> GrantResponse {
         let stripe = StripeId::of_replica(incarnation);
         let Some(held) = self.authority.holds(stripe.key(), now) else {
-            return GrantAnswer::NotHolder;
+            return GrantResponse::NotGranter;
         };
-        self.granter.grant(stripe, Allowance::of_replica(limit), held, 1, Refused::Together, now)
+        self.granter.grant(
+            stripe,
+            Allowance::of_replica(limit),
+            held,
+            1,
+            RetryOrder::Simultaneous,
+            now,
+        )
     }
 
     /// Takes back what a request was granted that did not run.
--- a/crates/gateway/src/shards.rs
+++ b/crates/gateway/src/shards.rs
@@ -19,7 +19,7 @@
 use topazmount_types::{ReplicaId, Time};
 
 /// Gateways that are told of all work: with more of them, prompts are placed by coordinators.
-pub const MOST_TOLD: usize = 15;
+pub const MAX_BROADCAST_PEERS: usize = 15;
 /// Replicas of a shard, about: few enough for one gateway to follow their work, enough of them for a
 /// busy one to have an idle neighbour.
 const REPLICAS_PER_SHARD: f64 = 16.0;
@@ -85,7 +85,7 @@
 
 /// The gateways as one of them ranks them.
 #[derive(Clone, Debug, Default)]
-pub struct Gateways {
+pub struct GatewayList {
     own: Option<SocketAddr>,
     /// In the order of addresses; the own one is among them.
     all: Vec<Listed>,
@@ -95,7 +95,7 @@
     alone_until: Time,
 }
 
-impl Gateways {
+impl GatewayList {
     /// Sets this gateway's own address for datagrams.
     pub fn set_own(&mut self, own: SocketAddr) {
         self.own = Some(own);
@@ -126,8 +126,8 @@
     }
 
     /// Whether there are too many for each to be told of all work.
-    pub fn are_many(&self, now: Time) -> bool {
-        self.listed(now).count() > MOST_TOLD + 1
+    pub fn uses_coordinators(&self, now: Time) -> bool {
+        self.listed(now).count() > MAX_BROADCAST_PEERS + 1
     }
 
     /// All but this one.
@@ -164,7 +164,7 @@
     }
 
     /// Whether this gateway is a coordinator of a shard.
-    pub fn coordinates(&self, service: &str, shard: Shard, now: Time) -> bool {
+    pub fn is_coordinator(&self, service: &str, shard: Shard, now: Time) -> bool {
         self.own.is_some_and(|own| self.coordinators(service, shard, now).contains(&own))
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// Notes that a coordinator did not answer.
-    pub fn note_silent(&mut self, address: SocketAddr, now: Time) {
+    pub fn on_timeout(&mut self, address: SocketAddr, now: Time) {
         self.silent_until.retain(|_, until| now < *until);
         self.silent_until.insert(address, now + SILENCE);
         self.unanswered += 1;
@@ -184,13 +184,13 @@
     }
 
     /// Notes that a coordinator answered.
-    pub fn note_answer(&mut self) {
+    pub fn on_response(&mut self) {
         self.unanswered = 0;
         self.alone_until = Time::ZERO;
     }
 
     /// Whether no coordinator seems to be in reach.
-    pub fn is_alone(&self, now: Time) -> bool {
+    pub fn is_cut_off(&self, now: Time) -> bool {
         now < self.alone_until
     }
 }
--- a/crates/gateway/src/stores.rs
+++ b/crates/gateway/src/stores.rs
@@ -13,7 +13,7 @@
 use topazmount_types::{ReplicaId, Start, Time};
 
 /// Most gateways that follow one store: it holds few calls at a time.
-pub const MOST_READERS: usize = 10;
+pub const MAX_STORE_READERS: usize = 10;
 /// Fewest shared tokens of a prompt that is saved.
 const LEAST_SAVED_TOKENS: u32 = 1_000;
 /// Time for which a prompt that is being saved is not saved again.
@@ -140,7 +140,7 @@
 
     /// Notes that a store does not answer: nothing is taken from it until it does. Returns whether
     /// that is news.
-    pub fn lost(&mut self, key: StoreKey) -> bool {
+    pub fn on_unreachable(&mut self, key: StoreKey) -> bool {
         self.get_mut(key).is_some_and(|store| std::mem::replace(&mut store.is_up, false))
     }
 
@@ -154,7 +154,7 @@
 
     /// The store to which a replica should send a prompt's parts, if that is worth it: the store
     /// lacks some of them, and this gateway had none sent a moment ago.
-    pub fn save(
+    pub fn select_for_save(
         &mut self,
         prompt: &Prompt,
         shard: Option<Shard>,
@@ -182,7 +182,7 @@
     }
 
     /// The store that holds what the prompts of a shard share, by the names of all stores.
-    pub fn of_shard(&self, shard: Shard) -> Option<&str> {
+    pub fn for_shard(&self, shard: Shard) -> Option<&str> {
         let key = shard.store_key();
         let weight = |address: &&str| rendezvous_weight(key, ReplicaId::from_name(address));
         self.keys().map(|(_, address)| address).max_by_key(weight)
--- a/crates/gateway/tests/balancer.rs
+++ b/crates/gateway/tests/balancer.rs
@@ -36,7 +36,7 @@
 
 fn choose_for(balancer: &mut Balancer, prompt: &Prompt, exclude: &[String]) -> Option<Choice> {
     let engine = engine();
-    let request = ChoiceRequest { exclude, ..choice_request(prompt, Some(&engine)) };
+    let request = ChoiceRequest { tried: exclude, ..choice_request(prompt, Some(&engine)) };
     balancer.choose(&request, NOW, &mut PolicyTable::default())
 }
 
@@ -96,13 +96,13 @@
     balancer.set_status(&status("replica-1", Availability::Barred, 1));
     assert_eq!(choose_for(&mut balancer, &prompt, &[]).unwrap().instance.id, "replica-0");
     let waiting = choose_for(&mut balancer, &prompt, &[]).unwrap();
-    assert!(!balancer.is_barred(&waiting));
+    assert!(!balancer.is_excluded(&waiting));
     balancer.set_status(&status("replica-0", Availability::Barred, 1));
     assert!(choose_for(&mut balancer, &prompt, &[]).is_none());
     // What waits there is taken back.
-    assert!(balancer.is_barred(&waiting));
+    assert!(balancer.is_excluded(&waiting));
     balancer.set_status(&status("replica-0", Availability::Open, 2));
-    assert!(!balancer.is_barred(&waiting));
+    assert!(!balancer.is_excluded(&waiting));
 }
 
 /// A replica that is passed over before a load still holds what it read.
@@ -111,8 +111,8 @@
     let mut balancer = pool(12, 1);
     let prompt = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
     let home = choose_for(&mut balancer, &prompt, &[]).unwrap();
-    balancer.sent(&home, &request(&prompt), NOW);
-    balancer.first_token(&home, &request(&prompt), Duration::from_millis(190), NOW);
+    balancer.on_sent(&home, &request(&prompt), NOW);
+    balancer.on_first_token(&home, &request(&prompt), Duration::from_millis(190), NOW);
     balancer.set_status(&status(&home.instance.id, Availability::Paused, 1));
     let other = choose_for(&mut balancer, &prompt, &[]).unwrap();
     assert_ne!(other.instance.id, home.instance.id);
@@ -137,16 +137,16 @@
     let first = choose_for(&mut balancer, &prompt, &[]).unwrap();
     let mut plan = RequestPlan::new(false, 1);
     plan.begin(first.instance.id.clone());
-    let next = plan.end(AttemptEnd::OtherWeights);
-    assert_eq!(next, NextStep::Retry { otherwise: ErrorKind::NoReplica, is_repeat: true });
+    let next = plan.end(AttemptEnd::VersionMismatch);
+    assert_eq!(next, NextStep::Retry { fallback: ErrorKind::NoReplica, needs_budget: true });
     assert!(plan.tried().is_empty());
     balancer.forget_version(&first, "model");
-    let again = ChoiceRequest { held_to: plan.held_to(), ..request(&prompt) };
+    let again = ChoiceRequest { pinned_to: plan.pinned_to(), ..request(&prompt) };
     let again = balancer.choose(&again, NOW, &mut PolicyTable::default()).unwrap();
     assert_eq!((&again.instance.id, again.version), (&first.instance.id, None));
     assert_ne!(choose_for(&mut balancer, &prompt, &[]).unwrap().instance.id, first.instance.id);
     plan.begin(again.instance.id);
-    assert_eq!(plan.end(AttemptEnd::NotRun), NextStep::Answer(ErrorKind::NoReplica));
+    assert_eq!(plan.end(AttemptEnd::NotRun), NextStep::Respond(ErrorKind::NoReplica));
 }
 
 #[test]
@@ -165,9 +165,9 @@
     let prompt = prompt(&[(1, 100), (2, 100)]);
     let choice = choose_for(&mut balancer, &prompt, &[]).unwrap();
     let home = choice.instance.id.clone();
-    balancer.failed(&choice, NOW);
+    balancer.on_failure(&choice, NOW);
     assert_ne!(choose_for(&mut balancer, &prompt, &[]).unwrap().instance.id, home);
-    balancer.succeeded(&choice, NOW + Duration::from_millis(1));
+    balancer.on_success(&choice, NOW + Duration::from_millis(1));
     assert_eq!(choose_for(&mut balancer, &prompt, &[]).unwrap().instance.id, home);
 }
 
@@ -177,14 +177,14 @@
     let mut balancer = pool(2, 1);
     let prompt = prompt(&[(1, 100), (2, 100)]);
     let mut policies = PolicyTable::default();
-    assert!(balancer.has_choice(&request(&prompt), NOW));
+    assert!(balancer.has_available_replica(&request(&prompt), NOW));
     balancer.choose(&request(&prompt), NOW, &mut policies).unwrap();
-    assert!(balancer.has_choice(&request(&prompt), NOW));
+    assert!(balancer.has_available_replica(&request(&prompt), NOW));
     let decided: u64 = policies.report().map(|(_, counters)| counters.decided).sum();
     assert_eq!(decided, 1);
     balancer.set_status(&status("replica-0", Availability::Barred, 1));
     balancer.set_status(&status("replica-1", Availability::Barred, 1));
-    assert!(!balancer.has_choice(&request(&prompt), NOW));
+    assert!(!balancer.has_available_replica(&request(&prompt), NOW));
 }
 
 #[test]
@@ -209,18 +209,18 @@
     let mut nodes = [pool(12, 1), pool(12, 2)];
     let prompt = prompt(&[(1, 2_500), (100, 3_800), (1_000, 9_000)]);
     let first = choose_for(&mut nodes[0], &prompt, &[]).unwrap();
-    nodes[0].sent(&first, &request(&prompt), NOW);
-    nodes[0].first_token(&first, &request(&prompt), Duration::from_millis(400), NOW);
-    let read = nodes[0].news(&first, &request(&prompt), PromptEvent::Read).unwrap();
-    nodes[1].apply_news(&read, NOW);
+    nodes[0].on_sent(&first, &request(&prompt), NOW);
+    nodes[0].on_first_token(&first, &request(&prompt), Duration::from_millis(400), NOW);
+    let read = nodes[0].load_update(&first, &request(&prompt), PromptEvent::Prefilled).unwrap();
+    nodes[1].apply_load_update(&read, NOW);
     let second = choose_for(&mut nodes[1], &prompt, &[]).unwrap();
     assert_eq!(second.instance.id, first.instance.id, "it holds the prompt and is idle");
     // The first node sends much more there.
     for _ in 0..5 {
-        nodes[0].sent(&first, &request(&prompt), NOW);
+        nodes[0].on_sent(&first, &request(&prompt), NOW);
     }
-    let busy = nodes[0].news(&first, &request(&prompt), PromptEvent::Sent).unwrap();
-    nodes[1].apply_news(&busy, NOW);
+    let busy = nodes[0].load_update(&first, &request(&prompt), PromptEvent::Sent).unwrap();
+    nodes[1].apply_load_update(&busy, NOW);
     let other = choose_for(&mut nodes[1], &prompt, &[]).unwrap();
     assert_ne!(other.instance.id, first.instance.id, "others wait there");
     assert!(other.source.is_some(), "what the first replica holds is moved");
@@ -234,7 +234,7 @@
     let mut balancer = pool(12, 1);
     let one = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
     let first = choose_for(&mut balancer, &one, &[]).unwrap();
-    balancer.sent(&first, &request(&one), NOW);
+    balancer.on_sent(&first, &request(&one), NOW);
     let like = prompt(&[(1, 2_500), (100, 3_800), (1_001, 900)]);
     assert_eq!(choose_for(&mut balancer, &like, &[]).unwrap().instance.id, first.instance.id);
 }
@@ -244,14 +244,14 @@
     let mut balancer = pool(2, 1);
     let one = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
     let choice = choose_for(&mut balancer, &one, &[]).unwrap();
-    let mut news = balancer.news(&choice, &request(&one), PromptEvent::Read).unwrap();
+    let mut news = balancer.load_update(&choice, &request(&one), PromptEvent::Prefilled).unwrap();
     news.version = 9;
-    balancer.apply_news(&news, NOW);
+    balancer.apply_load_update(&news, NOW);
     let exclude = std::slice::from_ref(&choice.instance.id);
     let other = choose_for(&mut balancer, &one, exclude).unwrap();
     assert!(other.expected_prefill > 2_500, "old memory is not counted on: {other:?}");
     news.replica = 77;
-    balancer.apply_news(&news, NOW);
+    balancer.apply_load_update(&news, NOW);
 }
 
 /// Time to a first token beside reading, in milliseconds.
@@ -260,11 +260,11 @@
 /// Serves a prompt at its choice, by an engine of this rate.
 fn serve(balancer: &mut Balancer, prompt: &Prompt, tokens_per_ms: f64, at: Time) -> Choice {
     let choice = choose_for(balancer, prompt, &[]).unwrap();
-    balancer.sent(&choice, &request(prompt), at);
+    balancer.on_sent(&choice, &request(prompt), at);
     let waited = FIXED_MS + f64::from(choice.expected_prefill) / tokens_per_ms;
     let waited = Duration::from_secs_f64(waited / 1_000.0);
-    balancer.first_token(&choice, &request(prompt), waited, at);
-    balancer.ended(&choice, true);
+    balancer.on_first_token(&choice, &request(prompt), waited, at);
+    balancer.on_ended(&choice, true);
     choice
 }
 
@@ -285,7 +285,7 @@
     let waiting = prompt(&[(1, 2_500), (100, 3_800), (1_001, waiting_tokens)]);
     let there = choose_for(&mut balancer, &waiting, &[]).unwrap();
     assert_eq!(there.instance.id, home.instance.id, "nothing waits yet");
-    balancer.sent(&there, &request(&waiting), NOW);
+    balancer.on_sent(&there, &request(&waiting), NOW);
     let next = prompt(&[(1, 2_500), (100, 3_800), (1_002, 900)]);
     let choice = choose_for(&mut balancer, &next, &[]).unwrap();
     let rate = balancer.prefill_rate("pool");
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -27,11 +27,11 @@
         let node = step as usize % NODES;
         // Traffic stops in the middle: the window must forget it.
         if step < 8_000 || step % 10 == 0 {
-            budgets[node].request(now, &settings);
+            budgets[node].record_request(now, &settings);
             requests.push(now);
         }
         for _ in 0..2 {
-            if budgets[node].repeat(now, &settings, NODES) {
+            if budgets[node].try_retry(now, &settings, NODES) {
                 repeats.push(now);
             }
         }
@@ -46,8 +46,8 @@
     let settings = BudgetSettings { ratio: 0.2, slack: 70.0, window: Duration::from_secs(10) };
     let mut budget = RetryBudget::default();
     let now = Time::from_secs(100);
-    let allowed = (0..100).filter(|_| budget.repeat(now, &settings, NODES)).count();
+    let allowed = (0..100).filter(|_| budget.try_retry(now, &settings, NODES)).count();
     assert_eq!(allowed, 8);
     let later = now + settings.window + Duration::from_millis(1);
-    assert!(budget.repeat(later, &settings, NODES));
+    assert!(budget.try_retry(later, &settings, NODES));
 }
--- a/crates/gateway/tests/catalog.rs
+++ b/crates/gateway/tests/catalog.rs
@@ -5,9 +5,9 @@
 use common::{catalog, parts, route, service, tenant};
 use rstest::rstest;
 use std::time::Duration;
-use topazmount_gateway::{Catalog, CatalogParts, CatalogProblem, SplitPart};
+use topazmount_gateway::{Catalog, CatalogError, CatalogParts, SplitPart};
 
-fn broken(change: impl FnOnce(&mut CatalogParts)) -> CatalogProblem {
+fn broken(change: impl FnOnce(&mut CatalogParts)) -> CatalogError {
     let mut parts = parts(1);
     change(&mut parts);
     Catalog::new(parts).unwrap_err()
@@ -16,19 +16,19 @@
 #[test]
 fn every_fault_is_told() {
     let unknown = broken(|parts| parts.routes.push(route("x", "h", "/x/", "nobody")));
-    assert!(matches!(unknown, CatalogProblem::UnknownService { .. }));
+    assert!(matches!(unknown, CatalogError::UnknownService { .. }));
     let same = broken(|parts| parts.routes.push(route("x", "SHOP.example", "/a/", "first")));
-    assert!(matches!(same, CatalogProblem::SamePlace { .. }));
+    assert!(matches!(same, CatalogError::DuplicateRoute { .. }));
     let weightless = broken(|parts| parts.routes[0].split[0].weight = 0);
-    assert_eq!(weightless, CatalogProblem::NoWeight("short".to_owned()));
+    assert_eq!(weightless, CatalogError::ZeroWeight("short".to_owned()));
     let nowhere = broken(|parts| parts.routes[0].split.clear());
-    assert_eq!(nowhere, CatalogProblem::NoWeight("short".to_owned()));
+    assert_eq!(nowhere, CatalogError::ZeroWeight("short".to_owned()));
     let timeless = broken(|parts| parts.routes[1].timeout = Duration::ZERO);
-    assert_eq!(timeless, CatalogProblem::NoTimeout("long".to_owned()));
+    assert_eq!(timeless, CatalogError::ZeroTimeout("long".to_owned()));
     let twice = broken(|parts| parts.services.push(service("first")));
-    assert_eq!(twice, CatalogProblem::SameService("first".to_owned()));
+    assert_eq!(twice, CatalogError::DuplicateService("first".to_owned()));
     let shared = broken(|parts| parts.tenants.as_mut().unwrap().push(tenant("other", "key-1")));
-    assert!(matches!(shared, CatalogProblem::SharedKey(..)));
+    assert!(matches!(shared, CatalogError::DuplicateKey(..)));
 }
 
 #[test]
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -52,9 +52,9 @@
         prompt: Some(prompt),
         model: Some("model"),
         namespace: 1,
-        wall: None,
-        exclude: &[],
-        held_to: None,
+        isolated_tenant: None,
+        tried: &[],
+        pinned_to: None,
         engine,
     }
 }
--- a/crates/gateway/tests/estimator.rs
+++ b/crates/gateway/tests/estimator.rs
@@ -25,7 +25,7 @@
         if rng.random_bool(delayed) {
             waited *= rng.random_range(1.2..4.0);
         }
-        estimate.note(tokens, waited);
+        estimate.record(tokens, waited);
     }
     estimate.tokens_per_ms()
 }
@@ -55,7 +55,7 @@
     #[case] ms: f64,
 ) {
     let mut estimate = PrefillEstimator::new(PRIOR);
-    (0..100).for_each(|_| estimate.note(tokens, ms));
+    (0..100).for_each(|_| estimate.record(tokens, ms));
     assert_eq!(estimate.tokens_per_ms(), PRIOR, "{name}");
     assert_eq!(estimate.samples(), 0);
 }
--- a/crates/gateway/tests/incarnation_series.rs
+++ b/crates/gateway/tests/incarnation_series.rs
@@ -125,12 +125,12 @@
         let subject = self.rng.random_range(0..10);
         let prompt = prompt(&[(1, 700), (100 + subject, 900), (self.rng.random(), 300)]);
         let name = incarnation_name(id, known.start);
-        let request = ChoiceRequest { held_to: Some(&name), ..choice_request(&prompt, None) };
+        let request = ChoiceRequest { pinned_to: Some(&name), ..choice_request(&prompt, None) };
         let choice = self.balancer.choose(&request, self.now, &mut PolicyTable::default());
         assert_eq!(choice.is_none(), known.is_barred, "{id}");
         let Some(choice) = choice else { return };
         assert_eq!(choice.version, known.version);
-        self.balancer.sent(&choice, &request, self.now);
+        self.balancer.on_sent(&choice, &request, self.now);
         let incarnation = known.number;
         self.made.push(choice.clone());
         self.running.push(Running { choice, prompt, incarnation, has_first_token: false });
@@ -145,7 +145,7 @@
         if !std::mem::replace(&mut one.has_first_token, true) {
             let request = choice_request(&one.prompt, None);
             let waited = Duration::from_millis(300);
-            self.balancer.first_token(&one.choice, &request, waited, self.now);
+            self.balancer.on_first_token(&one.choice, &request, waited, self.now);
         }
     }
 
@@ -155,10 +155,10 @@
         }
         let position = self.rng.random_range(0..self.running.len());
         let one = self.running.swap_remove(position);
-        self.balancer.ended(&one.choice, one.has_first_token);
+        self.balancer.on_ended(&one.choice, one.has_first_token);
         match self.rng.random_range(0..3) {
-            0 => self.balancer.failed(&one.choice, self.now),
-            1 => self.balancer.succeeded(&one.choice, self.now),
+            0 => self.balancer.on_failure(&one.choice, self.now),
+            1 => self.balancer.on_success(&one.choice, self.now),
             _ => {}
         }
     }
@@ -176,15 +176,17 @@
         let prompt = prompt(&[(1, 700), (100, 900), (7, 300)]);
         let request = choice_request(&prompt, None);
         let (balancer, now) = (&mut self.balancer, self.now);
-        assert_eq!(balancer.news(&choice, &request, PromptEvent::Sent), None);
-        assert!(!balancer.is_barred(&choice) && !balancer.was_heard_since(&choice, Time::ZERO));
+        assert_eq!(balancer.load_update(&choice, &request, PromptEvent::Sent), None);
+        assert!(
+            !balancer.is_excluded(&choice) && !balancer.has_responded_since(&choice, Time::ZERO)
+        );
         match self.rng.random_range(0..6) {
-            0 => balancer.saw_version(&choice, "model", 99),
+            0 => balancer.record_version(&choice, "model", 99),
             1 => balancer.forget_version(&choice, "model"),
-            2 => drop(balancer.refused_version(&choice, "model", Some(0), now)),
-            3 => balancer.is_replaced(&choice, now),
-            4 => balancer.sent(&choice, &request, now),
-            _ => balancer.failed(&choice, now),
+            2 => drop(balancer.on_version_refused(&choice, "model", Some(0), now)),
+            3 => balancer.on_address_reused(&choice, now),
+            4 => balancer.on_sent(&choice, &request, now),
+            _ => balancer.on_failure(&choice, now),
         }
     }
 
--- a/crates/gateway/tests/incarnations.rs
+++ b/crates/gateway/tests/incarnations.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use topazmount_control::{Availability, FleetView, InstanceStatus, LoadedModel, RemovedInstance};
 use topazmount_gateway::{
-    Balancer, Change, Choice, ChoiceRequest, GatewaySettings, Knowledge, LoadNews, Prompt,
-    PromptEvent,
+    Balancer, Choice, ChoiceRequest, GatewaySettings, GatewayState, LoadUpdate, Prompt,
+    PromptEvent, ReplicaChange,
 };
 use topazmount_routing::PolicyTable;
 use topazmount_types::{Instance, RequestDigest, Start, Time, incarnation_name};
@@ -33,7 +33,7 @@
 
 fn choose(balancer: &mut Balancer, prompt: &Prompt, exclude: &[String]) -> Option<Choice> {
     let engine = engine();
-    let request = ChoiceRequest { exclude, ..choice_request(prompt, Some(&engine)) };
+    let request = ChoiceRequest { tried: exclude, ..choice_request(prompt, Some(&engine)) };
     balancer.choose(&request, NOW, &mut PolicyTable::default())
 }
 
@@ -45,12 +45,12 @@
 struct Old {
     prompt: Prompt,
     choice: Choice,
-    news: LoadNews,
+    news: LoadUpdate,
 }
 
 impl Old {
-    fn news(&self, event: PromptEvent) -> LoadNews {
-        LoadNews { event, in_flight: 30, pending_prefill: 90_000, ..self.news.clone() }
+    fn news(&self, event: PromptEvent) -> LoadUpdate {
+        LoadUpdate { event, in_flight: 30, pending_prefill: 90_000, ..self.news.clone() }
     }
 }
 
@@ -64,10 +64,11 @@
     let prompt = long_prompt();
     let exclude = [incarnation_name("i-1", FIRST)];
     let choice = choose(&mut balancer, &prompt, &exclude).unwrap();
-    balancer.sent(&choice, &choice_request(&prompt, None), NOW);
-    let news = balancer.news(&choice, &choice_request(&prompt, None), PromptEvent::Sent).unwrap();
+    balancer.on_sent(&choice, &choice_request(&prompt, None), NOW);
+    let news =
+        balancer.load_update(&choice, &choice_request(&prompt, None), PromptEvent::Sent).unwrap();
     let change = balancer.upsert(started("i-0", NEXT));
-    assert!(matches!(change, Some(Change::Replaced { start: NEXT, .. })), "{change:?}");
+    assert!(matches!(change, Some(ReplicaChange::Replaced { start: NEXT, .. })), "{change:?}");
     balancer.set_status(&status("i-0", NEXT, 2));
     (balancer, Old { prompt, choice, news })
 }
@@ -81,7 +82,7 @@
     let choice = choose(&mut balancer, &old.prompt, &exclude).expect("it is open");
     assert_eq!(choice.instance.start, NEXT);
     assert_eq!((choice.version, choice.known_tokens), (Some(2), 0));
-    assert_eq!((choice.taken_share, choice.is_clear), (0.0, true));
+    assert_eq!((choice.slot_utilization, choice.has_empty_queue), (0.0, true));
     // One that failed lately is passed over for the other.
     let is_chosen = |subject: u64| {
         let prompt = prompt(&[(5_000 + subject, 500), (6_000 + subject, 100)]);
@@ -92,44 +93,44 @@
 
 cases! { counts_nothing:
     nothing_late => |_, _| {};
-    a_late_end => |balancer, old| balancer.ended(&old.choice, false);
+    a_late_end => |balancer, old| balancer.on_ended(&old.choice, false);
     a_late_end_after_a_request_of_the_next => |balancer, old| {
         let exclude = [incarnation_name("i-1", FIRST)];
         let next = choose(balancer, &old.prompt, &exclude).unwrap();
-        balancer.sent(&next, &choice_request(&old.prompt, None), NOW);
-        balancer.ended(&old.choice, true);
+        balancer.on_sent(&next, &choice_request(&old.prompt, None), NOW);
+        balancer.on_ended(&old.choice, true);
         assert_eq!(balancer.load("i-0").unwrap().0, 1, "the next one's request runs on");
-        balancer.ended(&next, false);
+        balancer.on_ended(&next, false);
         balancer.upsert(started("i-0", Start(7_000)));
         balancer.upsert(started("i-0", NEXT));
         balancer.set_status(&status("i-0", NEXT, 2));
     };
     a_late_first_token => |balancer, old| {
         let request = choice_request(&old.prompt, None);
-        balancer.first_token(&old.choice, &request, Duration::from_millis(400), NOW);
+        balancer.on_first_token(&old.choice, &request, Duration::from_millis(400), NOW);
     };
     a_late_send => |balancer, old| {
-        balancer.sent(&old.choice, &choice_request(&old.prompt, None), NOW);
+        balancer.on_sent(&old.choice, &choice_request(&old.prompt, None), NOW);
     };
-    a_late_failure => |balancer, old| balancer.failed(&old.choice, NOW);
+    a_late_failure => |balancer, old| balancer.on_failure(&old.choice, NOW);
     late_word_that_its_address_is_another_ones => |balancer, old| {
-        balancer.is_replaced(&old.choice, NOW);
+        balancer.on_address_reused(&old.choice, NOW);
     };
     late_word_of_another_gateway_of_a_send => |balancer, old| {
-        balancer.apply_news(&old.news(PromptEvent::Sent), NOW);
+        balancer.apply_load_update(&old.news(PromptEvent::Sent), NOW);
     };
     late_word_of_another_gateway_of_a_first_token => |balancer, old| {
-        balancer.apply_news(&old.news(PromptEvent::Read), NOW);
+        balancer.apply_load_update(&old.news(PromptEvent::Prefilled), NOW);
     };
     late_word_of_another_gateway_of_a_failure => |balancer, old| {
-        balancer.apply_news(&old.news(PromptEvent::Failed), NOW);
+        balancer.apply_load_update(&old.news(PromptEvent::Failed), NOW);
     };
-    a_late_newer_version => |balancer, old| balancer.saw_version(&old.choice, "model", 9);
+    a_late_newer_version => |balancer, old| balancer.record_version(&old.choice, "model", 9);
     a_late_refusal => |balancer, old| {
-        balancer.refused_version(&old.choice, "model", Some(1), NOW);
+        balancer.on_version_refused(&old.choice, "model", Some(1), NOW);
     };
     a_late_refusal_without_a_version => |balancer, old| {
-        balancer.refused_version(&old.choice, "model", None, NOW);
+        balancer.on_version_refused(&old.choice, "model", None, NOW);
     };
     a_late_loss_of_weights => |balancer, old| balancer.forget_version(&old.choice, "model");
     a_late_status => |balancer, _| {
@@ -148,7 +149,7 @@
     a_removal_and_the_same_again => |balancer, old| {
         balancer.remove("i-0");
         assert_eq!(balancer.load("i-0"), None);
-        balancer.ended(&old.choice, false);
+        balancer.on_ended(&old.choice, false);
         balancer.upsert(started("i-0", NEXT));
         balancer.set_status(&status("i-0", NEXT, 2));
     };
@@ -159,12 +160,12 @@
 fn a_late_success_of_an_earlier_incarnation_clears_no_failure_of_the_next() {
     let (mut balancer, old) = replaced();
     let next = choose(&mut balancer, &old.prompt, &[incarnation_name("i-1", FIRST)]).unwrap();
-    balancer.failed(&next, NOW);
-    balancer.succeeded(&old.choice, NOW);
+    balancer.on_failure(&next, NOW);
+    balancer.on_success(&old.choice, NOW);
     for _ in 0..20 {
         assert_eq!(choose(&mut balancer, &old.prompt, &[]).unwrap().instance.id, "i-1");
     }
-    assert!(!balancer.was_heard_since(&old.choice, Time::ZERO));
+    assert!(!balancer.has_responded_since(&old.choice, Time::ZERO));
 }
 
 /// What runs at an earlier incarnation is not taken for a request at the next one, whose weights may be too old.
@@ -174,7 +175,7 @@
     let next = choose(&mut balancer, &old.prompt, &[incarnation_name("i-1", FIRST)]).unwrap();
     let availability = Availability::Barred;
     balancer.set_status(&InstanceStatus { availability, ..status("i-0", NEXT, 2) });
-    assert!(balancer.is_barred(&next) && !balancer.is_barred(&old.choice));
+    assert!(balancer.is_excluded(&next) && !balancer.is_excluded(&old.choice));
     assert!(balancer.has_ended(&old.choice) && !balancer.has_ended(&next));
 }
 
@@ -196,7 +197,7 @@
     balancer.upsert(started("i-0", Start::UNSAID));
     balancer.set_status(&status("i-0", Start::UNSAID, 2));
     let choice = choose(&mut balancer, &long_prompt(), &[]).unwrap();
-    balancer.sent(&choice, &choice_request(&long_prompt(), None), NOW);
+    balancer.on_sent(&choice, &choice_request(&long_prompt(), None), NOW);
     assert_eq!(balancer.upsert(started("i-0", Start::UNSAID)), None);
     assert_eq!(balancer.load("i-0").unwrap().0, 1);
     assert_eq!(choice.instance.incarnation_name(), "i-0");
@@ -207,7 +208,7 @@
 fn a_prompt_that_an_ended_incarnation_was_reading_draws_its_like_to_who_reads_it_now() {
     let (mut balancer, old) = replaced();
     let other = choose(&mut balancer, &old.prompt, &[incarnation_name("i-0", NEXT)]).unwrap();
-    balancer.sent(&other, &choice_request(&old.prompt, None), NOW);
+    balancer.on_sent(&other, &choice_request(&old.prompt, None), NOW);
     let like = choose(&mut balancer, &old.prompt, &[incarnation_name("i-0", NEXT)]).unwrap();
     assert_eq!(like.known_tokens, 6_300);
 }
@@ -219,7 +220,7 @@
     let tried = [old.choice.instance.incarnation_name(), incarnation_name("i-1", FIRST)];
     assert_eq!(choose(&mut balancer, &old.prompt, &tried).unwrap().instance.start, NEXT);
     let held_to = &tried[0];
-    let request = ChoiceRequest { held_to: Some(held_to), ..choice_request(&old.prompt, None) };
+    let request = ChoiceRequest { pinned_to: Some(held_to), ..choice_request(&old.prompt, None) };
     assert_eq!(balancer.choose(&request, NOW, &mut PolicyTable::default()), None);
 }
 
@@ -255,15 +256,20 @@
 
 /// Requests under which the first incarnation is known to have crashed after a view, where one broke off at it.
 fn crashed_after(was_draining: bool, next: FleetView, expected: usize) {
-    let mut knowledge = Knowledge::new("north", GatewaySettings::default(), 1);
+    let mut knowledge = GatewayState::new("north", GatewaySettings::default(), 1);
     let first = started("i-0", FIRST);
     knowledge.apply(&view(1, vec![first.clone()]), None, NOW);
     if was_draining {
         let is_draining = true;
         knowledge.apply(&view(2, vec![Instance { is_draining, ..first.clone() }]), None, NOW);
     }
-    knowledge.crashes().broke(REQUEST, &first.incarnation_name(), RUN, NOW);
-    knowledge.crashes().broke(RequestDigest(8), &incarnation_name("i-0", NEXT), RUN, NOW);
+    knowledge.crashes().on_connection_broken(REQUEST, &first.incarnation_name(), RUN, NOW);
+    knowledge.crashes().on_connection_broken(
+        RequestDigest(8),
+        &incarnation_name("i-0", NEXT),
+        RUN,
+        NOW,
+    );
     let crashed = knowledge.confirm_crashes(&next, NOW);
     assert_eq!(crashed.iter().map(|(_, requests)| requests).sum::<usize>(), expected);
     knowledge.apply(&next, None, NOW);
--- a/crates/gateway/tests/knowledge.rs
+++ b/crates/gateway/tests/knowledge.rs
@@ -7,22 +7,28 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use topazmount_control::FleetView;
-use topazmount_gateway::{Catalog, GatewaySettings, Knowledge, SplitPart};
+use topazmount_gateway::{Catalog, GatewaySettings, GatewayState, SplitPart};
 use topazmount_types::{ErrorKind, Time};
 
 const START: Time = Time::from_secs(1_000);
 const BOUND: Duration = Duration::from_secs(5);
 
-fn knowledge() -> Knowledge {
-    let settings = GatewaySettings { revocation: Some(BOUND), ..GatewaySettings::default() };
-    Knowledge::new("north", settings, 1)
+fn knowledge() -> GatewayState {
+    let settings =
+        GatewaySettings { max_revocation_delay: Some(BOUND), ..GatewaySettings::default() };
+    GatewayState::new("north", settings, 1)
 }
 
 fn view(staleness: Option<Duration>) -> FleetView {
     FleetView { staleness, ..FleetView::default() }
 }
 
-fn admit(knowledge: &mut Knowledge, path: &str, key: &str, now: Time) -> Result<String, ErrorKind> {
+fn admit(
+    knowledge: &mut GatewayState,
+    path: &str,
+    key: &str,
+    now: Time,
+) -> Result<String, ErrorKind> {
     let admission = knowledge.admit("shop.example", path, Some(key), now)?;
     Ok(admission.route.name)
 }
@@ -54,7 +60,7 @@
 fn a_refused_client_is_told_to_wait_as_long_as_the_outage_has_lasted() {
     let mut knowledge = knowledge();
     let millis = Duration::from_millis;
-    let wait = |knowledge: &mut Knowledge, after: u64| {
+    let wait = |knowledge: &mut GatewayState, after: u64| {
         knowledge.retry_after(ErrorKind::NoConfiguration, START + millis(after))
     };
     assert_eq!(wait(&mut knowledge, 0), millis(250));
@@ -142,8 +148,8 @@
     knowledge.apply(&piece(5, "a", Some(((3, 8), Vec::new()))), None, START);
     let second = piece(6, "b", is_of_leader.then(|| ((3, 9), Vec::new())));
     knowledge.apply(&second, None, START);
-    assert_eq!(knowledge.seen().statuses, expected);
-    assert_eq!(knowledge.seen().revision, 6);
+    assert_eq!(knowledge.seen_versions().statuses, expected);
+    assert_eq!(knowledge.seen_versions().revision, 6);
 }
 
 #[test]
--- a/crates/gateway/tests/late_bars.rs
+++ b/crates/gateway/tests/late_bars.rs
@@ -34,12 +34,12 @@
 #[test]
 fn a_gateway_that_hears_followers_alone_sends_nothing_to_weights_beyond_their_bound() {
     let (mut balancer, _) = on_first_version();
-    balancer.set_named(&loaded(2), NOW);
+    balancer.set_published(&loaded(2), NOW);
     let prompt = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
     let request = choice_request(&prompt, None);
     let later = NOW + Duration::from_secs(20);
     let choice = balancer.choose(&request, later, &mut PolicyTable::default());
-    let expected = choice.map(|choice| choice.expected);
+    let expected = choice.map(|choice| choice.required_version);
     assert_ne!(
         expected,
         Some(Some(1)),
@@ -51,7 +51,7 @@
 #[test]
 fn a_gateway_passes_over_weights_that_are_over_whatever_the_status_says() {
     let (mut balancer, status) = on_first_version();
-    balancer.set_oldest(&loaded(2));
+    balancer.set_min_versions(&loaded(2));
     let prompt = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
     let request = choice_request(&prompt, None);
     assert!(balancer.choose(&request, NOW, &mut PolicyTable::default()).is_none());
@@ -63,17 +63,17 @@
 #[test]
 fn while_a_leader_tells_news_its_statuses_say_which_weights_are_over() {
     let (mut balancer, _) = on_first_version();
-    balancer.set_named(&loaded(2), NOW);
+    balancer.set_published(&loaded(2), NOW);
     let prompt = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
     let request = choice_request(&prompt, None);
     let expected_at = |after: u64, balancer: &mut Balancer| {
         let now = NOW + Duration::from_millis(after);
-        balancer.choose(&request, now, &mut PolicyTable::default()).unwrap().expected
+        balancer.choose(&request, now, &mut PolicyTable::default()).unwrap().required_version
     };
-    balancer.heard_leader(NOW + Duration::from_secs(20));
+    balancer.record_leader_contact(NOW + Duration::from_secs(20));
     assert_eq!(expected_at(20_400, &mut balancer), Some(1));
     assert_eq!(expected_at(26_499, &mut balancer), Some(1), "6.5 s after a leader's last word");
     assert_eq!(expected_at(26_500, &mut balancer), Some(2));
-    balancer.heard_leader(NOW + Duration::from_secs(27));
+    balancer.record_leader_contact(NOW + Duration::from_secs(27));
     assert_eq!(expected_at(27_400, &mut balancer), Some(1));
 }
--- a/crates/gateway/tests/overload.rs
+++ b/crates/gateway/tests/overload.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 use topazmount_control::{Availability, FleetView, InstanceStatus, LoadedModel};
 use topazmount_gateway::{
-    Catalog, CatalogParts, Choice, ChoiceRequest, GatewaySettings, Knowledge, Prompt, Prospect,
-    Service,
+    Catalog, CatalogParts, Choice, ChoiceRequest, GatewaySettings, GatewayState, Prompt, Service,
+    TtftEstimate,
 };
 use topazmount_types::{Start, Time};
 
@@ -76,7 +76,7 @@
 }
 
 struct Day {
-    knowledge: Knowledge,
+    knowledge: GatewayState,
     engines: Vec<Engine>,
     refuses: bool,
     rng: ChaCha8Rng,
@@ -89,7 +89,7 @@
     Time::from_secs(1_000) + Duration::from_secs_f64(ms / 1_000.0)
 }
 
-fn knowledge() -> Knowledge {
+fn knowledge() -> GatewayState {
     let first = parts(1);
     let pool = Service {
         name: "pool".to_owned(),
@@ -120,7 +120,7 @@
         staleness: Some(Duration::ZERO),
         ..FleetView::default()
     };
-    let mut knowledge = Knowledge::new("north", GatewaySettings::default(), 1);
+    let mut knowledge = GatewayState::new("north", GatewaySettings::default(), 1);
     knowledge.apply(&view, Some(catalog), time(0.0));
     knowledge
 }
@@ -187,15 +187,15 @@
         let (engine, now) = (engine(), time(now_ms));
         let asked = request(&prompt, &engine);
         let choice = self.knowledge.choose(&asked, now).unwrap();
-        let prospect = Prospect {
+        let prospect = TtftEstimate {
             estimate: Duration::from_secs_f64(choice.estimate_ms.max(0.0) / 1_000.0),
-            spent: Duration::ZERO,
+            elapsed: Duration::ZERO,
             target: kind.target(),
-            rank: kind.rank(),
-            is_clear: choice.is_clear,
-            taken_share: choice.taken_share,
+            priority: kind.rank(),
+            has_empty_queue: choice.has_empty_queue,
+            slot_utilization: choice.slot_utilization,
         };
-        let wait = prospect.wait_if_late(self.rng.random()).filter(|_| self.refuses);
+        let wait = prospect.retry_delay_if_late(self.rng.random()).filter(|_| self.refuses);
         match wait {
             Some(wait) if is_first => {
                 let at = now_ms + wait.as_secs_f64() * 1_000.0;
@@ -204,7 +204,7 @@
             Some(_) => return self.got[kind as usize].refused += 1,
             None => {}
         }
-        self.knowledge.balancer().sent(&choice, &asked, now);
+        self.knowledge.balancer().on_sent(&choice, &asked, now);
         let number: usize = choice.instance.id.rsplit('-').next().unwrap().parse().unwrap();
         let job = Job {
             kind,
@@ -264,7 +264,7 @@
             let engine = engine();
             let asked = request(&job.prompt, &engine);
             let waited = Duration::from_secs_f64((now_ms - job.came_ms) / 1_000.0);
-            self.knowledge.first_token(&job.choice, &asked, waited, time(now_ms));
+            self.knowledge.on_first_token(&job.choice, &asked, waited, time(now_ms));
         } else if sent.is_multiple_of(STRIDE) || job.tokens_left == 0 {
             job.longest_pause_ms = job.longest_pause_ms.max(now_ms - job.event_ms);
             job.event_ms = now_ms;
@@ -272,7 +272,7 @@
     }
 
     fn end(&mut self, job: Job) {
-        self.knowledge.balancer().ended(&job.choice, true);
+        self.knowledge.balancer().on_ended(&job.choice, true);
         let first_ms = job.first_ms.unwrap_or(f64::MAX) - job.came_ms;
         let target_ms = job.kind.target().as_secs_f64() * 1_000.0;
         let got = &mut self.got[job.kind as usize];
@@ -312,35 +312,40 @@
 
 #[test]
 fn what_is_urgent_or_meets_an_engine_at_rest_is_sent() {
-    let late = Prospect {
+    let late = TtftEstimate {
         estimate: Duration::from_secs(5),
-        spent: Duration::ZERO,
+        elapsed: Duration::ZERO,
         target: Duration::from_millis(800),
-        rank: 1,
-        is_clear: false,
-        taken_share: 1.0,
+        priority: 1,
+        has_empty_queue: false,
+        slot_utilization: 1.0,
     };
-    assert!(late.wait_if_late(0.5).is_some());
-    assert!(Prospect { rank: 0, ..late }.wait_if_late(0.5).is_none());
-    assert!(Prospect { is_clear: true, ..late }.wait_if_late(0.5).is_none());
-    assert!(Prospect { taken_share: 0.4, ..late }.wait_if_late(0.5).is_none());
-    let soon = Prospect { estimate: Duration::from_millis(500), ..late };
-    assert!(soon.wait_if_late(0.5).is_none());
-    assert!(Prospect { spent: Duration::from_millis(100), ..soon }.wait_if_late(0.5).is_some());
+    assert!(late.retry_delay_if_late(0.5).is_some());
+    assert!(TtftEstimate { priority: 0, ..late }.retry_delay_if_late(0.5).is_none());
+    assert!(TtftEstimate { has_empty_queue: true, ..late }.retry_delay_if_late(0.5).is_none());
+    assert!(TtftEstimate { slot_utilization: 0.4, ..late }.retry_delay_if_late(0.5).is_none());
+    let soon = TtftEstimate { estimate: Duration::from_millis(500), ..late };
+    assert!(soon.retry_delay_if_late(0.5).is_none());
+    assert!(
+        TtftEstimate { elapsed: Duration::from_millis(100), ..soon }
+            .retry_delay_if_late(0.5)
+            .is_some()
+    );
 }
 
 /// Clients that are refused together return one after another, none before what is ahead can be done.
 #[test]
 fn waits_are_spread() {
-    let late = Prospect {
+    let late = TtftEstimate {
         estimate: Duration::from_millis(1_560),
-        spent: Duration::ZERO,
+        elapsed: Duration::ZERO,
         target: Duration::from_millis(800),
-        rank: 1,
-        is_clear: false,
-        taken_share: 1.0,
+        priority: 1,
+        has_empty_queue: false,
+        slot_utilization: 1.0,
     };
-    let waits: Vec<u128> =
-        [0.0, 0.5, 1.0].map(|spread| late.wait_if_late(spread).unwrap().as_millis()).to_vec();
+    let waits: Vec<u128> = [0.0, 0.5, 1.0]
+        .map(|spread| late.retry_delay_if_late(spread).unwrap().as_millis())
+        .to_vec();
     assert_eq!(waits, [900, 1_800, 2_700]);
 }
--- a/crates/gateway/tests/plan.rs
+++ b/crates/gateway/tests/plan.rs
@@ -16,12 +16,12 @@
 #[case(false, 2, AttemptEnd::NotRun, true)]
 #[case(false, 2, AttemptEnd::WrongInstance, true)]
 #[case(false, 2, AttemptEnd::Broken, false)]
-#[case(false, 2, AttemptEnd::Silent, false)]
+#[case(false, 2, AttemptEnd::Unresponsive, false)]
 #[case(false, 2, AttemptEnd::TimedOut, false)]
 #[case(false, 2, AttemptEnd::Abandoned, false)]
 // One that may be repeated goes on after anything but the end of its time.
 #[case(true, 2, AttemptEnd::Broken, true)]
-#[case(true, 2, AttemptEnd::Silent, true)]
+#[case(true, 2, AttemptEnd::Unresponsive, true)]
 #[case(true, 2, AttemptEnd::NotRun, true)]
 #[case(true, 2, AttemptEnd::TimedOut, false)]
 #[case(true, 2, AttemptEnd::Abandoned, false)]
@@ -44,13 +44,13 @@
 #[case(AttemptEnd::NotRun, 503)]
 #[case(AttemptEnd::WrongInstance, 503)]
 #[case(AttemptEnd::Broken, 502)]
-#[case(AttemptEnd::Silent, 502)]
+#[case(AttemptEnd::Unresponsive, 502)]
 #[case(AttemptEnd::Abandoned, 502)]
 #[case(AttemptEnd::TimedOut, 504)]
 fn refusals_promise_only_what_is_so(#[case] end: AttemptEnd, #[case] status: u16) {
     let mut plan = plan(false, 1);
     let kind = match plan.end(end) {
-        NextStep::Answer(kind) | NextStep::Retry { otherwise: kind, .. } => kind,
+        NextStep::Respond(kind) | NextStep::Retry { fallback: kind, .. } => kind,
         other => panic!("{other:?}"),
     };
     assert_eq!(kind.status(), status);
@@ -61,25 +61,28 @@
 #[test]
 fn a_replica_that_said_not_run_does_not_undo_an_earlier_run() {
     let mut plan = plan(true, 3);
-    assert!(matches!(plan.end(AttemptEnd::Broken), NextStep::Retry { is_repeat: true, .. }));
+    assert!(matches!(plan.end(AttemptEnd::Broken), NextStep::Retry { needs_budget: true, .. }));
     plan.begin("second".to_owned());
     assert!(matches!(
         plan.end(AttemptEnd::NotRun),
-        NextStep::Retry { otherwise: ErrorKind::OutcomeUnknown, .. }
+        NextStep::Retry { fallback: ErrorKind::OutcomeUnknown, .. }
     ));
 }
 
 #[test]
 fn a_failure_is_passed_on_where_nothing_else_may_be_tried() {
-    assert_eq!(plan(false, 3).end(AttemptEnd::Failed), NextStep::PassOn);
-    assert_eq!(plan(true, 1).end(AttemptEnd::Failed), NextStep::PassOn);
-    assert_eq!(plan(true, 2).end(AttemptEnd::Failed), NextStep::RetryOrPassOn);
+    assert_eq!(plan(false, 3).end(AttemptEnd::Failed), NextStep::Forward);
+    assert_eq!(plan(true, 1).end(AttemptEnd::Failed), NextStep::Forward);
+    assert_eq!(plan(true, 2).end(AttemptEnd::Failed), NextStep::RetryOrForward);
 }
 
 #[test]
 fn only_attempts_after_an_arrival_are_repeats() {
     let mut plan = plan(true, 3);
-    assert!(matches!(plan.end(AttemptEnd::Unreachable), NextStep::Retry { is_repeat: false, .. }));
+    assert!(matches!(
+        plan.end(AttemptEnd::Unreachable),
+        NextStep::Retry { needs_budget: false, .. }
+    ));
     plan.begin("second".to_owned());
-    assert!(matches!(plan.end(AttemptEnd::NotRun), NextStep::Retry { is_repeat: true, .. }));
+    assert!(matches!(plan.end(AttemptEnd::NotRun), NextStep::Retry { needs_budget: true, .. }));
 }
--- a/crates/gateway/tests/pushback.rs
+++ b/crates/gateway/tests/pushback.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use topazmount_admission::{Heard, Pushback, PushbackSettings, Pushbacks};
 use topazmount_control::{FleetView, RemovedInstance};
-use topazmount_gateway::{Balancer, Choice, ChoiceRequest, GatewaySettings, Knowledge};
+use topazmount_gateway::{Balancer, Choice, ChoiceRequest, GatewaySettings, GatewayState};
 use topazmount_routing::PolicyTable;
 use topazmount_types::{Instance, Start, Time};
 
@@ -35,7 +35,7 @@
 fn choose(balancer: &mut Balancer, exclude: &[String], now: Time) -> Option<Choice> {
     let prompt = prompt(&[(1, 500), (100, 400)]);
     let engine = engine();
-    let request = ChoiceRequest { exclude, ..choice_request(&prompt, Some(&engine)) };
+    let request = ChoiceRequest { tried: exclude, ..choice_request(&prompt, Some(&engine)) };
     balancer.choose(&request, now, &mut PolicyTable::default())
 }
 
@@ -47,7 +47,7 @@
     let other = [started("i-1", FIRST).incarnation_name()];
     let choice = choose(&mut balancer, &other, NOW).unwrap();
     assert!(balancer.may_send(&choice, NOW));
-    balancer.hear_pushback(&choice, said, NOW);
+    balancer.record_pushback(&choice, said, NOW);
     (balancer, choice)
 }
 
@@ -110,7 +110,7 @@
 #[test]
 fn a_success_of_an_earlier_request_ends_no_rest() {
     let (mut balancer, choice) = asked(rest(millis(2_000)));
-    balancer.succeeded(&choice, NOW + millis(10));
+    balancer.on_success(&choice, NOW + millis(10));
     assert!(!is_chosen(&mut balancer, NOW + millis(20)));
 }
 
@@ -118,13 +118,17 @@
 fn where_all_rest_the_first_one_that_comes_back_is_named() {
     let (mut balancer, _) = asked(rest(millis(2_000)));
     let other = choose(&mut balancer, &[], NOW).unwrap();
-    balancer.hear_pushback(&other, rest(millis(700)), NOW + millis(100));
+    balancer.record_pushback(&other, rest(millis(700)), NOW + millis(100));
     let now = NOW + millis(200);
     assert_eq!(choose(&mut balancer, &[], now), None);
     let prompt = prompt(&[(1, 500)]);
     let request = choice_request(&prompt, None);
-    assert_eq!(balancer.first_rested(&request, now), Some(millis(600)));
-    assert_eq!(balancer.first_rested(&request, NOW + millis(800)), None, "one may be asked again");
+    assert_eq!(balancer.time_until_available(&request, now), Some(millis(600)));
+    assert_eq!(
+        balancer.time_until_available(&request, NOW + millis(800)),
+        None,
+        "one may be asked again"
+    );
 }
 
 #[rstest]
@@ -150,7 +154,7 @@
 fn a_late_answer_of_an_earlier_incarnation_asks_nothing_of_the_next() {
     let (mut balancer, choice) = asked(Pushback::default());
     balancer.upsert(started("i-0", NEXT));
-    assert_eq!(balancer.hear_pushback(&choice, LEAVING, NOW), None);
+    assert_eq!(balancer.record_pushback(&choice, LEAVING, NOW), None);
     assert!(is_chosen(&mut balancer, NOW));
 }
 
@@ -195,7 +199,7 @@
     let (mut balancer, choice) = asked(Pushback::default());
     let start = Start(1_000_000u64.checked_add_signed(starts_after).unwrap());
     balancer.upsert(started("i-0", start));
-    balancer.hear_pushback(&choice, said, NOW);
+    balancer.record_pushback(&choice, said, NOW);
     assert_eq!(is_chosen(&mut balancer, NOW + millis(700)), !is_left_alone);
 }
 
@@ -211,7 +215,7 @@
 
 #[test]
 fn a_gateway_that_learns_of_the_next_incarnation_uses_it() {
-    let mut knowledge = Knowledge::new("north", GatewaySettings::default(), 1);
+    let mut knowledge = GatewayState::new("north", GatewaySettings::default(), 1);
     let view = |revision, instances, removed| FleetView {
         revision,
         instances,
@@ -220,7 +224,7 @@
     };
     knowledge.apply(&view(1, vec![started("i-0", FIRST)], Vec::new()), None, NOW);
     let choice = choose(knowledge.balancer(), &[], NOW).unwrap();
-    knowledge.balancer().hear_pushback(&choice, LEAVING, NOW);
+    knowledge.balancer().record_pushback(&choice, LEAVING, NOW);
     assert_eq!(choose(knowledge.balancer(), &[], NOW), None);
     let removed = RemovedInstance { id: "i-0".to_owned(), start: FIRST, was_announced: false };
     knowledge.apply(&view(2, Vec::new(), vec![removed]), None, NOW);
@@ -292,9 +296,9 @@
                 }
                 let choice = self.under_way[at].remove(0);
                 let said = Pushback { rest: rest_ms.map(millis), ..Pushback::default() };
-                balancer.hear_pushback(&choice, said, self.now);
+                balancer.record_pushback(&choice, said, self.now);
                 if rest_ms.is_none() {
-                    balancer.succeeded(&choice, self.now);
+                    balancer.on_success(&choice, self.now);
                 }
                 let until = self.rests.entry((at, choice.instance.start.0)).or_default();
                 *until = (*until).max(self.now + millis(rest_ms.unwrap_or(0)));
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -8,7 +8,7 @@
 use quota_world::{Event, LIMIT, World, any_event, bound, tenant_hash};
 use rand::Rng;
 use std::time::Duration;
-use topazmount_gateway::{GrantAnswer, Granting, STRIPES, StripeId, TenantLimit};
+use topazmount_gateway::{GrantResponse, Granter, STRIPES, StripeId, TenantLimit};
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(96))]
@@ -57,9 +57,9 @@
         let stripe = StripeId { owner: tenant_hash(), stripe: 0 };
         let knowledge = |world: &World, number: usize| {
             let gateway = world.gateways[number].as_ref().unwrap();
-            gateway.knowledge.granting(stripe, world.now)
+            gateway.knowledge.granter(stripe, world.now)
         };
-        let holder = (0..gateways).find(|one| knowledge(&world, *one) == Some(Granting::Own));
+        let holder = (0..gateways).find(|one| knowledge(&world, *one) == Some(Granter::Local));
         world.take(Event::Kill(holder.unwrap()));
     }
     world.pass(Duration::from_secs(40), |world| {
@@ -114,10 +114,10 @@
     let mut world = World::new(1, 5);
     world.pass(Duration::from_secs(12), |_| {});
     let stripe = StripeId { owner: tenant_hash(), stripe: 0 };
-    while world.ask(0, stripe, 100) == Some(GrantAnswer::Granted) {}
+    while world.ask(0, stripe, 100) == Some(GrantResponse::Granted) {}
     let waits: Vec<Duration> = (0..5)
         .filter_map(|_| match world.ask(0, stripe, 100) {
-            Some(GrantAnswer::Over(wait)) => Some(wait),
+            Some(GrantResponse::LimitExceeded(wait)) => Some(wait),
             _ => None,
         })
         .collect();
@@ -132,8 +132,8 @@
     let mut world = World::new(1, 5);
     world.pass(Duration::from_secs(12), |_| {});
     let stripe = StripeId { owner: tenant_hash(), stripe: 0 };
-    while world.ask(0, stripe, 100) == Some(GrantAnswer::Granted) {}
+    while world.ask(0, stripe, 100) == Some(GrantResponse::Granted) {}
     let now = world.now;
-    world.gateways[0].as_mut().unwrap().knowledge.give_back(stripe, 100, now);
-    assert_eq!(world.ask(0, stripe, 100), Some(GrantAnswer::Granted));
+    world.gateways[0].as_mut().unwrap().knowledge.return_units(stripe, 100, now);
+    assert_eq!(world.ask(0, stripe, 100), Some(GrantResponse::Granted));
 }
--- a/crates/gateway/tests/quota_world/mod.rs
+++ b/crates/gateway/tests/quota_world/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use topazmount_control::{FleetView, GATEWAY_SILENCE, GatewayNews, GatewayReport};
 use topazmount_gateway::{
-    Catalog, CatalogParts, GatewaySettings, GrantAnswer, Granting, Knowledge, LimitUnit,
+    Catalog, CatalogParts, GatewaySettings, GatewayState, GrantResponse, Granter, LimitUnit,
     QuotaSettings, STRIPES, StripeId, Tenant, TenantLimit,
 };
 use topazmount_types::{TenantId, Time};
@@ -22,7 +22,7 @@
 pub const WINDOW: Duration = Duration::from_secs(8);
 pub const QUOTA: QuotaSettings = QuotaSettings { window: WINDOW, overrun: 0.0, slack: 300.0 };
 pub const LIMIT: TenantLimit =
-    TenantLimit { rate: 1_000.0, burst: 1_000.0, unit: LimitUnit::Tokens { untold: 200 } };
+    TenantLimit { rate: 1_000.0, burst: 1_000.0, unit: LimitUnit::Tokens { unspecified: 200 } };
 /// Tries of a gateway in a step.
 const TRIES: usize = 3;
 
@@ -47,7 +47,7 @@
 }
 
 pub struct Gateway {
-    pub knowledge: Knowledge,
+    pub knowledge: GatewayState,
     pub asks_at: Time,
     /// Answers on their way: when they arrive, when they were asked for.
     pub answers: VecDeque<(Time, Time, FleetView)>,
@@ -101,7 +101,7 @@
 
     pub fn start(&mut self, number: usize) {
         let settings = GatewaySettings { quota: QUOTA, ..GatewaySettings::default() };
-        let mut knowledge = Knowledge::new("north", settings, number as u64);
+        let mut knowledge = GatewayState::new("north", settings, number as u64);
         knowledge.set_own_address(address(number));
         let asks_at = self.now;
         let answers = VecDeque::new();
@@ -142,7 +142,7 @@
             let Some(leader) = &mut self.leader else { continue };
             gateway.asks_at = now + ASKING;
             leader.count += u64::from(leader.heard.insert(number, now).is_none());
-            let seen = gateway.knowledge.seen();
+            let seen = gateway.knowledge.seen_versions();
             let gateways = (seen.gateways != (leader.term, leader.count)).then(|| {
                 let reports = leader.heard.keys().map(|number| report(*number)).collect();
                 GatewayNews::full((leader.term, leader.count), reports)
@@ -165,14 +165,14 @@
         let first = self.rng.random_range(0..STRIPES);
         for turn in 0..STRIPES {
             let stripe = StripeId { owner: tenant_hash(), stripe: (first + turn) % STRIPES };
-            if self.ask(number, stripe, amount) == Some(GrantAnswer::Granted) {
+            if self.ask(number, stripe, amount) == Some(GrantResponse::Granted) {
                 self.spent.push((self.now, f64::from(amount)));
                 return true;
             }
         }
         let now = self.now;
         let gateway = self.gateways[number].as_mut().unwrap();
-        let is_spent = gateway.knowledge.spend_ungranted(tenant_hash(), amount, now);
+        let is_spent = gateway.knowledge.spend_without_grant(tenant_hash(), amount, now);
         if is_spent {
             self.spent.push((now, f64::from(amount)));
         }
@@ -180,12 +180,12 @@
         is_spent
     }
 
-    pub fn ask(&mut self, number: usize, stripe: StripeId, amount: u32) -> Option<GrantAnswer> {
+    pub fn ask(&mut self, number: usize, stripe: StripeId, amount: u32) -> Option<GrantResponse> {
         let now = self.now;
         let asker = self.gateways[number].as_mut()?;
-        let granter = match asker.knowledge.granting(stripe, now)? {
-            Granting::Own => return Some(asker.knowledge.grant(stripe, amount, now)),
-            Granting::Other(granter) => granter,
+        let granter = match asker.knowledge.granter(stripe, now)? {
+            Granter::Local => return Some(asker.knowledge.grant(stripe, amount, now)),
+            Granter::Remote(granter) => granter,
         };
         self.questions += 1;
         let other = (0..self.gateways.len()).find(|one| address(*one) == granter)?;
@@ -194,7 +194,7 @@
         let answer = answerer.map(|one| one.knowledge.grant(stripe, amount, now));
         if answer.is_none() {
             let asker = self.gateways[number].as_mut()?;
-            asker.knowledge.note_silent_granter(granter, now);
+            asker.knowledge.on_granter_timeout(granter, now);
         }
         answer
     }
--- a/crates/gateway/tests/refused_versions.rs
+++ b/crates/gateway/tests/refused_versions.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use topazmount_control::{Availability, FleetView, InstanceStatus, LoadedModel};
 use topazmount_gateway::{
-    AttemptEnd, Balancer, Change, Choice, ChoiceRequest, GatewaySettings, Knowledge, NextStep,
-    Refused, RequestPlan, WENT_BACK_PAUSE,
+    AttemptEnd, Balancer, Choice, ChoiceRequest, DOWNGRADE_PAUSE, GatewaySettings, GatewayState,
+    NextStep, ReplicaChange, RequestPlan, VersionRefusal,
 };
 use topazmount_routing::PolicyTable;
 use topazmount_types::{ErrorKind, Start, Time};
@@ -39,7 +39,7 @@
     let mut balancer = Balancer::new("north", 1);
     balancer.upsert(instance("i-0", "pool", "north"));
     balancer.set_status(&status("i-0", version));
-    balancer.set_named(&named.map(loaded).unwrap_or_default(), NOW);
+    balancer.set_published(&named.map(loaded).unwrap_or_default(), NOW);
     balancer
 }
 
@@ -52,22 +52,24 @@
 ) {
     let mut balancer = one(2, named);
     let choice = choose(&mut balancer, Some("model"), NOW).unwrap();
-    assert_eq!(choice.expected, Some(2));
-    let refused = balancer.refused_version(&choice, "model", said, NOW);
+    assert_eq!(choice.required_version, Some(2));
+    let refused = balancer.on_version_refused(&choice, "model", said, NOW);
     let at = match &refused {
-        Refused::AskAgain | Refused::Unexplained => NOW,
-        Refused::WentBack(change) => {
-            let Change::WentBack { before, said: told, .. } = change else { panic!("{change:?}") };
+        VersionRefusal::RetrySame | VersionRefusal::Unexplained => NOW,
+        VersionRefusal::Downgraded(change) => {
+            let ReplicaChange::Downgraded { recorded: before, reported: told, .. } = change else {
+                panic!("{change:?}")
+            };
             assert_eq!((*before, *told), (2, said));
-            let just_before = NOW + WENT_BACK_PAUSE - Duration::from_millis(1);
+            let just_before = NOW + DOWNGRADE_PAUSE - Duration::from_millis(1);
             assert_eq!(choose(&mut balancer, Some("model"), just_before), None);
             assert!(choose(&mut balancer, None, NOW).is_some(), "it serves what names no model");
-            NOW + WENT_BACK_PAUSE
+            NOW + DOWNGRADE_PAUSE
         }
     };
-    assert_eq!(refused == Refused::AskAgain, asks_again, "{refused:?}");
+    assert_eq!(refused == VersionRefusal::RetrySame, asks_again, "{refused:?}");
     let choice = choose(&mut balancer, Some("model"), at).unwrap();
-    assert_eq!((choice.version, choice.expected), next);
+    assert_eq!((choice.version, choice.required_version), next);
 }
 
 cases! { refused:
@@ -87,7 +89,7 @@
 fn the_next_status_ends_the_pause() {
     let mut balancer = one(2, Some(2));
     let choice = choose(&mut balancer, Some("model"), NOW).unwrap();
-    balancer.refused_version(&choice, "model", Some(1), NOW);
+    balancer.on_version_refused(&choice, "model", Some(1), NOW);
     assert_eq!(choose(&mut balancer, Some("model"), NOW), None);
     balancer.set_status(&status("i-0", 2));
     assert_eq!(choose(&mut balancer, Some("model"), NOW).unwrap().version, Some(2));
@@ -99,16 +101,16 @@
     balancer.upsert(instance("i-1", "pool", "north"));
     balancer.set_status(&status("i-1", 2));
     let choice = choose(&mut balancer, Some("model"), NOW).unwrap();
-    balancer.refused_version(&choice, "model", None, NOW);
+    balancer.on_version_refused(&choice, "model", None, NOW);
     let other = choose(&mut balancer, Some("model"), NOW).unwrap();
     assert_ne!(other.instance.id, choice.instance.id);
-    assert_eq!(other.expected, Some(2));
+    assert_eq!(other.required_version, Some(2));
 }
 
 /// Followers tell of a replica before its status comes; it may hold any weights.
 #[test]
 fn a_prompt_names_the_newest_version_where_that_of_its_replica_is_not_known() {
-    let mut knowledge = Knowledge::new("north", GatewaySettings::default(), 1);
+    let mut knowledge = GatewayState::new("north", GatewaySettings::default(), 1);
     let instances = vec![instance("i-0", "pool", "north")];
     let view = FleetView { revision: 1, instances, ..FleetView::default() };
     knowledge.apply(&FleetView { weights: loaded(3), ..view.clone() }, None, NOW);
@@ -116,9 +118,9 @@
     knowledge.apply(&FleetView { weights: loaded(2), ..view.clone() }, None, NOW);
     knowledge.apply(&view, None, NOW);
     let choice = choose(knowledge.balancer(), Some("model"), NOW).unwrap();
-    assert_eq!((choice.version, choice.expected), (None, Some(3)));
+    assert_eq!((choice.version, choice.required_version), (None, Some(3)));
     let other = choose(knowledge.balancer(), Some("other"), NOW).unwrap();
-    assert_eq!(other.expected, None, "no version of it was ever named");
+    assert_eq!(other.required_version, None, "no version of it was ever named");
 }
 
 /// Weights that change all the time hold no request at one replica.
@@ -126,15 +128,15 @@
 fn a_replica_is_asked_again_once() {
     let mut plan = RequestPlan::new(false, 2);
     plan.begin("i-0".to_owned());
-    plan.end(AttemptEnd::OtherWeights);
-    assert_eq!(plan.held_to().map(String::as_str), Some("i-0"));
+    plan.end(AttemptEnd::VersionMismatch);
+    assert_eq!(plan.pinned_to().map(String::as_str), Some("i-0"));
     plan.begin("i-0".to_owned());
-    let next = plan.end(AttemptEnd::OtherWeights);
-    assert_eq!(next, NextStep::Retry { otherwise: ErrorKind::NoReplica, is_repeat: true });
-    assert_eq!((plan.held_to(), plan.tried()), (None, &["i-0".to_owned()][..]));
+    let next = plan.end(AttemptEnd::VersionMismatch);
+    assert_eq!(next, NextStep::Retry { fallback: ErrorKind::NoReplica, needs_budget: true });
+    assert_eq!((plan.pinned_to(), plan.tried()), (None, &["i-0".to_owned()][..]));
     plan.begin("i-1".to_owned());
-    plan.end(AttemptEnd::OtherWeights);
-    assert_eq!(plan.held_to().map(String::as_str), Some("i-1"), "another one is");
+    plan.end(AttemptEnd::VersionMismatch);
+    assert_eq!(plan.pinned_to().map(String::as_str), Some("i-1"), "another one is");
 }
 
 /// The incarnation that was to be asked again may be gone; then it counts as one that was sent the request.
@@ -143,10 +145,10 @@
     for (attempts, goes_on) in [(2, true), (1, false)] {
         let mut plan = RequestPlan::new(false, attempts);
         plan.begin("i-0#1".to_owned());
-        plan.end(AttemptEnd::OtherWeights);
-        assert_eq!(plan.let_go(), goes_on);
-        assert_eq!((plan.held_to(), plan.tried()), (None, &["i-0#1".to_owned()][..]));
-        assert!(!plan.let_go(), "it is held to none");
+        plan.end(AttemptEnd::VersionMismatch);
+        assert_eq!(plan.unpin(), goes_on);
+        assert_eq!((plan.pinned_to(), plan.tried()), (None, &["i-0#1".to_owned()][..]));
+        assert!(!plan.unpin(), "it is held to none");
     }
 }
 
@@ -155,9 +157,9 @@
 fn old_weights_count_as_not_run_within_the_attempts() {
     let mut plan = RequestPlan::new(false, 2);
     plan.begin("i-0".to_owned());
-    let next = plan.end(AttemptEnd::OldWeights);
-    assert_eq!(next, NextStep::Retry { otherwise: ErrorKind::NoReplica, is_repeat: true });
+    let next = plan.end(AttemptEnd::OutdatedWeights);
+    assert_eq!(next, NextStep::Retry { fallback: ErrorKind::NoReplica, needs_budget: true });
     plan.begin("i-1".to_owned());
-    assert_eq!(plan.end(AttemptEnd::OldWeights), NextStep::Answer(ErrorKind::NoReplica));
+    assert_eq!(plan.end(AttemptEnd::OutdatedWeights), NextStep::Respond(ErrorKind::NoReplica));
     assert!(!plan.may_have_run());
 }
--- a/crates/gateway/tests/request_limits.rs
+++ b/crates/gateway/tests/request_limits.rs
@@ -11,7 +11,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 use topazmount_admission::{LimitChange, RequestLimit, RequestLimits};
-use topazmount_gateway::{GrantAnswer, Granting, LimitNews};
+use topazmount_gateway::{GrantResponse, Granter, LimitUpdate};
 use topazmount_types::{Start, Time};
 
 const REPLICA: u64 = 0x7265_706c;
@@ -87,9 +87,10 @@
             if self.told_at[from].is_some_and(|told| told + TOLD <= at) {
                 self.arrivals.push(at);
             }
-            let news = LimitNews { replica: REPLICA, limit: Some(self.limit), age: Duration::ZERO };
+            let news =
+                LimitUpdate { replica: REPLICA, limit: Some(self.limit), age: Duration::ZERO };
             let Some(gateway) = self.world.gateways[from].as_mut() else { continue };
-            gateway.knowledge.told_limit(&news, now);
+            gateway.knowledge.apply_limit_update(&news, now);
             self.told_at[from] = self.told_at[from].or(Some(now));
         }
     }
@@ -115,13 +116,13 @@
         if self.told_at[number].is_none() {
             return self.world.rng.random_bool(0.1);
         }
-        let asked = LimitNews { replica: REPLICA, limit: Some(self.limit), age: Duration::ZERO };
-        let granter = match asker.knowledge.granting_send(REPLICA, now) {
+        let asked = LimitUpdate { replica: REPLICA, limit: Some(self.limit), age: Duration::ZERO };
+        let granter = match asker.knowledge.send_granter(REPLICA, now) {
             None => return false,
-            Some(Granting::Own) => {
-                return asker.knowledge.grant_send(&asked, now) == GrantAnswer::Granted;
+            Some(Granter::Local) => {
+                return asker.knowledge.grant_send(&asked, now) == GrantResponse::Granted;
             }
-            Some(Granting::Other(granter)) => granter,
+            Some(Granter::Remote(granter)) => granter,
         };
         let Some(other) = (0..self.told_at.len()).find(|one| address(*one) == granter) else {
             return false;
@@ -133,9 +134,9 @@
         if answer.is_none()
             && let Some(asker) = self.world.gateways[number].as_mut()
         {
-            asker.knowledge.note_silent_send_granter(granter, now);
+            asker.knowledge.on_send_granter_timeout(granter, now);
         }
-        answer == Some(GrantAnswer::Granted)
+        answer == Some(GrantResponse::Granted)
     }
 
     fn most_in_window(&self, from: Time) -> usize {
@@ -219,12 +220,12 @@
     let mut world = World::new(12, 3);
     world.pass(Duration::from_secs(9), |_| {});
     let now = world.now;
-    let news = LimitNews { replica: REPLICA, limit: limit(1.0), age: Duration::ZERO };
+    let news = LimitUpdate { replica: REPLICA, limit: limit(1.0), age: Duration::ZERO };
     let mut told = Vec::new();
     for number in 0..12 {
         let knowledge = &mut world.gateways[number].as_mut().unwrap().knowledge;
-        let to = knowledge.told_of_limit(REPLICA, now);
-        let is_granter = knowledge.granting_send(REPLICA, now) == Some(Granting::Own);
+        let to = knowledge.limit_update_recipients(REPLICA, now);
+        let is_granter = knowledge.send_granter(REPLICA, now) == Some(Granter::Local);
         assert_eq!(to.len(), if is_granter { 11 } else { 1 });
         told.extend(to.into_iter().filter(|_| !is_granter));
     }
@@ -232,8 +233,8 @@
     let granter = (0..12).find(|number| address(*number) == told[0]).unwrap();
     assert_eq!(told.len(), 1, "one grants");
     let knowledge = &mut world.gateways[granter].as_mut().unwrap().knowledge;
-    assert_eq!(knowledge.told_limit(&news, now).len(), 11);
-    assert!(knowledge.told_limit(&news, now).is_empty(), "it is no news any more");
+    assert_eq!(knowledge.apply_limit_update(&news, now).len(), 11);
+    assert!(knowledge.apply_limit_update(&news, now).is_empty(), "it is no news any more");
 }
 
 const NOW: Time = Time::from_secs(1_000);
--- a/crates/gateway/tests/shards.rs
+++ b/crates/gateway/tests/shards.rs
@@ -11,8 +11,8 @@
     Availability, FleetView, GatewayNews, GatewayReport, InstanceStatus, LoadedModel,
 };
 use topazmount_gateway::{
-    Catalog, CatalogParts, Choice, ChoiceQuestion, ChoiceRequest, GatewaySettings, Gateways,
-    Knowledge, LoadNews, MOST_TOLD, Prompt, PromptEvent, Service, Shard,
+    Catalog, CatalogParts, Choice, ChoiceRequest, GatewayList, GatewaySettings, GatewayState,
+    LoadUpdate, MAX_BROADCAST_PEERS, PlacementRequest, Prompt, PromptEvent, Service, Shard,
 };
 use topazmount_types::{Start, Time};
 
@@ -32,8 +32,8 @@
 }
 
 /// What a gateway of a fleet of this size knows.
-fn gateway(number: usize, gateways: usize, replicas: usize) -> Knowledge {
-    let mut knowledge = Knowledge::new("north", GatewaySettings::default(), number as u64);
+fn gateway(number: usize, gateways: usize, replicas: usize) -> GatewayState {
+    let mut knowledge = GatewayState::new("north", GatewaySettings::default(), number as u64);
     knowledge.set_own_address(address(number, PORT));
     let report = |number| GatewayReport {
         address: address(number, 80).to_string(),
@@ -75,21 +75,21 @@
 
 #[test]
 fn few_gateways_tell_each_other_and_ask_nobody() {
-    let mut knowledge = gateway(0, MOST_TOLD + 1, 240);
+    let mut knowledge = gateway(0, MAX_BROADCAST_PEERS + 1, 240);
     with_request(&subject(1), |request| {
         assert!(knowledge.shards_for(request, NOW).is_empty());
         let choice = knowledge.choose(request, NOW).unwrap();
-        let (told, _) = knowledge.news(&choice, request, PromptEvent::Sent, NOW).unwrap();
-        assert_eq!(told.len(), MOST_TOLD);
+        let (told, _) = knowledge.load_update(&choice, request, PromptEvent::Sent, NOW).unwrap();
+        assert_eq!(told.len(), MAX_BROADCAST_PEERS);
     });
 }
 
 #[test]
 fn all_gateways_find_the_same_shards_and_coordinators() {
-    let mut fleet: Vec<Knowledge> = (0..40).map(|number| gateway(number, 295, 240)).collect();
+    let mut fleet: Vec<GatewayState> = (0..40).map(|number| gateway(number, 295, 240)).collect();
     for number in 0..50 {
         let found: BTreeSet<_> = with_request(&subject(number), |request| {
-            let of = |one: &mut Knowledge| {
+            let of = |one: &mut GatewayState| {
                 let shards = one.shards_for(request, NOW);
                 let first = one.gateways().coordinators("pool", shards[0], NOW);
                 format!("{shards:?} {first:?}")
@@ -129,12 +129,12 @@
 
 #[test]
 fn a_coordinator_that_does_not_answer_is_passed_over_for_a_while() {
-    let mut gateways = Gateways::default();
+    let mut gateways = GatewayList::default();
     gateways.set_own(address(0, PORT));
     gateways.set((1..40).map(|number| address(number, PORT)), NOW);
     let shard = Shard { index: 3, count: 16 };
     let ranked = gateways.coordinators("pool", shard, NOW);
-    gateways.note_silent(ranked[0], NOW);
+    gateways.on_timeout(ranked[0], NOW);
     let stand_in = gateways.coordinators("pool", shard, NOW);
     assert_eq!(stand_in[0], ranked[1], "the second knew all that the first did");
     assert_eq!(gateways.coordinators("pool", shard, NOW + Duration::from_secs(2)), ranked);
@@ -143,7 +143,7 @@
 /// A new leader of the control group has heard of few gateways at first; prompts must not move for that.
 #[test]
 fn a_short_list_moves_no_shard_at_once() {
-    let mut gateways = Gateways::default();
+    let mut gateways = GatewayList::default();
     gateways.set_own(address(0, PORT));
     let all = || (1..40).map(|number| address(number, PORT));
     gateways.set(all(), NOW);
@@ -151,7 +151,7 @@
     let before = gateways.coordinators("pool", shard, NOW);
     let soon = NOW + Duration::from_millis(500);
     gateways.set(all().take(3), soon);
-    assert!(gateways.are_many(soon));
+    assert!(gateways.uses_coordinators(soon));
     assert_eq!(gateways.coordinators("pool", shard, soon), before);
     gateways.set(all().skip(1), soon + Duration::from_millis(500));
     let later = NOW + Duration::from_secs(4);
@@ -167,14 +167,14 @@
         while !knowledge.shards_for(request, NOW).is_empty() {
             let shard = knowledge.shards_for(request, NOW)[0];
             let first = knowledge.gateways().coordinators("pool", shard, NOW)[0];
-            knowledge.gateways().note_silent(first, NOW);
+            knowledge.gateways().on_timeout(first, NOW);
             asked += 1;
         }
         assert_eq!(asked, 4);
         assert!(knowledge.choose(request, NOW).is_some());
         let later = NOW + Duration::from_millis(1_100);
         assert!(!knowledge.shards_for(request, later).is_empty(), "it tries again");
-        knowledge.gateways().note_answer();
+        knowledge.gateways().on_response();
         assert!(!knowledge.shards_for(request, NOW).is_empty());
     });
 }
@@ -186,7 +186,7 @@
     const GATEWAYS: usize = 60;
     const REPLICAS: usize = 64;
     const PROMPTS: usize = 3_000;
-    let mut fleet: Vec<Knowledge> =
+    let mut fleet: Vec<GatewayState> =
         (0..GATEWAYS).map(|number| gateway(number, GATEWAYS, REPLICAS)).collect();
     let mut prompts_at: BTreeMap<String, usize> = BTreeMap::new();
     let mut known = 0;
@@ -209,12 +209,12 @@
     (known as f64 / PROMPTS as f64, most * REPLICAS as f64 / PROMPTS as f64)
 }
 
-fn ask(fleet: &mut [Knowledge], asker: usize, request: &ChoiceRequest<'_>, now: Time) -> Choice {
+fn ask(fleet: &mut [GatewayState], asker: usize, request: &ChoiceRequest<'_>, now: Time) -> Choice {
     let shard = fleet[asker].shards_for(request, NOW)[0];
     let coordinator = fleet[asker].gateways().coordinators("pool", shard, now)[0];
-    let question = ChoiceQuestion::new(request, shard, &[]).unwrap();
-    let offer = fleet[number_of(coordinator)].answer(&question, now).unwrap();
-    fleet[asker].adopt(&offer, request, NOW).unwrap()
+    let question = PlacementRequest::new(request, shard, &[]).unwrap();
+    let offer = fleet[number_of(coordinator)].place(&question, now).unwrap();
+    fleet[asker].accept_offer(&offer, request, NOW).unwrap()
 }
 
 fn number_of(address: SocketAddr) -> usize {
@@ -224,33 +224,33 @@
 
 /// Serves a prompt at its choice at once, and tells who should be told.
 fn serve(
-    fleet: &mut [Knowledge],
+    fleet: &mut [GatewayState],
     asker: usize,
     choice: &Choice,
     request: &ChoiceRequest<'_>,
     now: Time,
 ) {
-    fleet[asker].balancer().sent(choice, request, now);
-    let sent = fleet[asker].news(choice, request, PromptEvent::Sent, now);
-    fleet[asker].first_token(choice, request, Duration::from_millis(80), now);
-    let read = fleet[asker].news(choice, request, PromptEvent::Read, now);
-    fleet[asker].balancer().ended(choice, true);
-    let ended = fleet[asker].news_of_end(choice, PromptEvent::Ended, now);
+    fleet[asker].balancer().on_sent(choice, request, now);
+    let sent = fleet[asker].load_update(choice, request, PromptEvent::Sent, now);
+    fleet[asker].on_first_token(choice, request, Duration::from_millis(80), now);
+    let read = fleet[asker].load_update(choice, request, PromptEvent::Prefilled, now);
+    fleet[asker].balancer().on_ended(choice, true);
+    let ended = fleet[asker].end_update(choice, PromptEvent::Ended, now);
     for news in [sent, read, ended] {
         tell(fleet, asker, news, now);
     }
 }
 
 fn tell(
-    fleet: &mut [Knowledge],
+    fleet: &mut [GatewayState],
     from: usize,
-    news: Option<(Vec<SocketAddr>, LoadNews)>,
+    news: Option<(Vec<SocketAddr>, LoadUpdate)>,
     now: Time,
 ) {
     let (told, news) = news.expect("there is something to tell");
-    let news = LoadNews { node: from as u64, ..news };
+    let news = LoadUpdate { node: from as u64, ..news };
     for address in told {
-        fleet[number_of(address)].balancer().apply_news(&news, now);
+        fleet[number_of(address)].balancer().apply_load_update(&news, now);
     }
 }
 
@@ -269,12 +269,12 @@
 /// A replica that fails one gateway's prompt is passed over by the coordinator, who serves all.
 #[test]
 fn a_coordinator_is_told_of_failures_elsewhere() {
-    let mut fleet: Vec<Knowledge> = (0..40).map(|number| gateway(number, 40, 64)).collect();
+    let mut fleet: Vec<GatewayState> = (0..40).map(|number| gateway(number, 40, 64)).collect();
     with_request(&subject(1), |request| {
         let first = ask(&mut fleet, 0, request, NOW);
-        fleet[0].balancer().sent(&first, request, NOW);
-        fleet[0].balancer().ended(&first, false);
-        let news = fleet[0].news_of_end(&first, PromptEvent::Failed, NOW);
+        fleet[0].balancer().on_sent(&first, request, NOW);
+        fleet[0].balancer().on_ended(&first, false);
+        let news = fleet[0].end_update(&first, PromptEvent::Failed, NOW);
         tell(&mut fleet, 0, news, NOW);
         assert_ne!(ask(&mut fleet, 5, request, NOW).instance.id, first.instance.id);
         let later = NOW + Duration::from_secs(1);
@@ -290,12 +290,12 @@
         let shards = knowledge.shards_for(request, NOW);
         let mut last = None;
         for _ in 0..200 {
-            let choice = knowledge.choose_within(request, Some(shards[0]), NOW).unwrap();
-            knowledge.balancer().sent(&choice, request, NOW);
+            let choice = knowledge.choose_in_shard(request, Some(shards[0]), NOW).unwrap();
+            knowledge.balancer().on_sent(&choice, request, NOW);
             last = Some(choice);
         }
         assert!(knowledge.is_overloaded(&last.unwrap(), request));
-        let elsewhere = knowledge.choose_within(request, Some(shards[1]), NOW).unwrap();
+        let elsewhere = knowledge.choose_in_shard(request, Some(shards[1]), NOW).unwrap();
         assert!(!knowledge.is_overloaded(&elsewhere, request));
         assert_ne!(shards[0], shards[1]);
     });
@@ -304,20 +304,20 @@
 /// What the coordinator believes may be older than what the asking gateway knows.
 #[test]
 fn an_offer_for_older_weights_brings_no_memory_of_theirs() {
-    let mut fleet: Vec<Knowledge> = (0..40).map(|number| gateway(number, 40, 64)).collect();
+    let mut fleet: Vec<GatewayState> = (0..40).map(|number| gateway(number, 40, 64)).collect();
     with_request(&subject(1), |request| {
         let shard = fleet[0].shards_for(request, NOW)[0];
-        let question = ChoiceQuestion::new(request, shard, &[]).unwrap();
-        let mut offer = fleet[1].answer(&question, NOW).unwrap();
+        let question = PlacementRequest::new(request, shard, &[]).unwrap();
+        let mut offer = fleet[1].place(&question, NOW).unwrap();
         offer.source = Some("10.9.9.9:1".to_owned());
-        let same = fleet[0].adopt(&offer, request, NOW).unwrap();
+        let same = fleet[0].accept_offer(&offer, request, NOW).unwrap();
         assert_eq!((same.version, same.source.is_some()), (Some(1), true));
-        fleet[0].balancer().saw_version(&same, "model", 2);
-        let newer = fleet[0].adopt(&offer, request, NOW).unwrap();
+        fleet[0].balancer().record_version(&same, "model", 2);
+        let newer = fleet[0].accept_offer(&offer, request, NOW).unwrap();
         assert_eq!((newer.version, newer.source), (Some(2), None));
         let exclude = [newer.instance.id.clone()];
-        let request = ChoiceRequest { exclude: &exclude, ..*request };
-        assert!(fleet[0].adopt(&offer, &request, NOW).is_none(), "it was tried already");
+        let request = ChoiceRequest { tried: &exclude, ..*request };
+        assert!(fleet[0].accept_offer(&offer, &request, NOW).is_none(), "it was tried already");
     });
 }
 
@@ -327,23 +327,23 @@
     let rest = Pushback { rest: Some(Duration::from_secs(3)), ..Pushback::default() };
     let leaving = Pushback { is_leaving: true, ..Pushback::default() };
     for said in [rest, leaving] {
-        let mut fleet: Vec<Knowledge> = (0..60).map(|number| gateway(number, 60, 64)).collect();
+        let mut fleet: Vec<GatewayState> = (0..60).map(|number| gateway(number, 60, 64)).collect();
         with_request(&subject(7), |request| {
             let first = ask(&mut fleet, 17, request, NOW);
-            fleet[17].balancer().hear_pushback(&first, said, NOW);
+            fleet[17].balancer().record_pushback(&first, said, NOW);
             let shard = fleet[17].shards_for(request, NOW)[0];
             let coordinator = fleet[17].gateways().coordinators("pool", shard, NOW)[0];
-            let question = fleet[17].question(request, shard, NOW).unwrap();
-            let offer = fleet[number_of(coordinator)].answer(&question, NOW).unwrap();
-            let second = fleet[17].adopt(&offer, request, NOW).unwrap();
+            let question = fleet[17].placement_request(request, shard, NOW).unwrap();
+            let offer = fleet[number_of(coordinator)].place(&question, NOW).unwrap();
+            let second = fleet[17].accept_offer(&offer, request, NOW).unwrap();
             assert_ne!(second.instance.id, first.instance.id);
             assert_eq!(
-                question.exclude.len(),
+                question.skipped.len(),
                 1,
                 "a question grows by what the shard's replicas asked alone"
             );
-            let other = fleet[18].question(request, shard, NOW).unwrap();
-            assert!(other.exclude.is_empty(), "it was not asked of another gateway");
+            let other = fleet[18].placement_request(request, shard, NOW).unwrap();
+            assert!(other.skipped.is_empty(), "it was not asked of another gateway");
         });
     }
 }
--- a/crates/gateway/tests/stores.rs
+++ b/crates/gateway/tests/stores.rs
@@ -83,11 +83,11 @@
 #[test]
 fn a_store_that_does_not_answer_gives_and_takes_nothing() {
     let (mut stores, key) = stores(page(7, &[(1, 2_500), (100, 3_800)]));
-    assert!(stores.lost(key));
-    assert!(!stores.lost(key), "it was known");
+    assert!(stores.on_unreachable(key));
+    assert!(!stores.on_unreachable(key), "it was known");
     let salt = cache_salt(1, None);
     assert_eq!(depth(&stores, &salt), None);
-    assert_eq!(stores.save(&subject(1), None, &salt, NOW), None);
+    assert_eq!(stores.select_for_save(&subject(1), None, &salt, NOW), None);
     assert!(!stores.apply(key, page(7, &[])));
     assert_eq!(depth(&stores, &salt), Some(2), "it was away, and not restarted");
 }
@@ -96,7 +96,8 @@
 fn saves_are_few_and_never_of_what_is_there() {
     let (mut stores, _) = stores(page(7, &[(1, 2_500), (100, 3_800)]));
     let salt = cache_salt(1, None);
-    let mut save = |number: u64, at: Time| stores.save(&subject(number), None, &salt, at).is_some();
+    let mut save =
+        |number: u64, at: Time| stores.select_for_save(&subject(number), None, &salt, at).is_some();
     assert!(!save(0, NOW), "it is there");
     assert!(save(1, NOW));
     assert!(save(2, NOW), "each subject for itself");
@@ -105,7 +106,7 @@
     assert!(!save(2, later), "this one too");
     assert!(save(1, NOW + Duration::from_secs(5)), "it never came");
     let short = prompt(&[(1, 500), (2, 400), (3, 10_000)]);
-    assert_eq!(stores.save(&short, None, &salt, NOW + Duration::from_secs(9)), None);
+    assert_eq!(stores.select_for_save(&short, None, &salt, NOW + Duration::from_secs(9)), None);
 }
 
 /// However often subjects are asked for, each is sent once while it is on its way, and never once the
@@ -120,7 +121,7 @@
         let asked = steps.flat_map(|ms| (0..SUBJECTS).map(move |number| (ms, number)));
         let saved = asked.filter(|(ms, number)| {
             let at = NOW + Duration::from_millis(*ms);
-            stores.save(&subject(*number), None, &salt, at).is_some()
+            stores.select_for_save(&subject(*number), None, &salt, at).is_some()
         });
         saved.count() as u64
     };
@@ -130,7 +131,7 @@
         (0..SUBJECTS).map(|number| (100 + number, 3_800)).chain([(1, 2_500)]).collect();
     stores.apply(key, page(7, &held));
     let late = NOW + Duration::from_secs(60);
-    let is_saved = |number| stores.save(&subject(number), None, &salt, late).is_some();
+    let is_saved = |number| stores.select_for_save(&subject(number), None, &salt, late).is_some();
     assert!(!(0..SUBJECTS).any(is_saved), "nothing that it holds");
 }
 
@@ -181,8 +182,8 @@
 fn read_and_stored(balancer: &mut Balancer, one: &Prompt) -> Choice {
     let engine = engine();
     let home = choose(balancer, one, NOW);
-    balancer.sent(&home, &request(one, &engine), NOW);
-    balancer.first_token(&home, &request(one, &engine), Duration::from_millis(190), NOW);
+    balancer.on_sent(&home, &request(one, &engine), NOW);
+    balancer.on_first_token(&home, &request(one, &engine), Duration::from_millis(190), NOW);
     tell(balancer, &[(1, 2_500), (100, 3_800)]);
     home
 }
@@ -199,7 +200,7 @@
     let one = subject(0);
     let home = read_and_stored(&mut balancer, &one);
     let exclude = std::slice::from_ref(&home.instance.id);
-    let elsewhere = ChoiceRequest { exclude, ..request(&one, &engine) };
+    let elsewhere = ChoiceRequest { tried: exclude, ..request(&one, &engine) };
     let other = balancer.choose(&elsewhere, NOW + age, &mut PolicyTable::default()).unwrap();
     let expected = if from_store { STORE } else { home.instance.address.as_str() };
     assert_eq!(other.source.as_deref(), Some(expected));
@@ -223,10 +224,10 @@
         start: Start::UNSAID,
         correction: (0, 0),
     });
-    assert_eq!(balancer.save(&old, &request(&one, &engine), None, NOW), None);
+    assert_eq!(balancer.select_store(&old, &request(&one, &engine), None, NOW), None);
     let mut newest = old;
     newest.version = Some(2);
-    let saved = balancer.save(&newest, &request(&one, &engine), None, NOW);
+    let saved = balancer.select_store(&newest, &request(&one, &engine), None, NOW);
     assert_eq!(saved.as_deref(), Some(STORE));
 }
 
@@ -243,11 +244,11 @@
 #[test]
 fn settings_say_for_how_long_a_replica_surely_holds_what_it_read() {
     let (mut balancer, engine) = (pool(), engine());
-    balancer.set_surely_kept(Duration::from_secs(10));
+    balancer.set_reliable_cache_age(Duration::from_secs(10));
     let one = subject(0);
     let home = read_and_stored(&mut balancer, &one);
     let exclude = std::slice::from_ref(&home.instance.id);
-    let elsewhere = ChoiceRequest { exclude, ..request(&one, &engine) };
+    let elsewhere = ChoiceRequest { tried: exclude, ..request(&one, &engine) };
     let later = NOW + Duration::from_secs(5);
     let other = balancer.choose(&elsewhere, later, &mut PolicyTable::default()).unwrap();
     assert_eq!(other.source.as_deref(), Some(home.instance.address.as_str()));
--- a/crates/gateway/tests/unled_bars.rs
+++ b/crates/gateway/tests/unled_bars.rs
@@ -58,16 +58,16 @@
         let newest = self.named.last().map_or(1, |(version, _)| *version);
         match self.rng.random_range(0..10) {
             0 => {
-                self.balancer.heard_leader(now);
+                self.balancer.record_leader_contact(now);
                 self.led_at = now;
             }
             1 => {
                 let version = newest + self.rng.random_range(1..=2);
-                self.balancer.set_named(&loaded(version), now);
+                self.balancer.set_published(&loaded(version), now);
                 self.named.push((version, now));
             }
             // A member that lags tells of an older one.
-            2 => self.balancer.set_named(&loaded(newest.saturating_sub(1).max(1)), now),
+            2 => self.balancer.set_published(&loaded(newest.saturating_sub(1).max(1)), now),
             _ => {}
         }
     }
@@ -90,7 +90,9 @@
             now = now + Duration::from_millis(play.rng.random_range(10..500));
             play.news(now);
             let choice = play.balancer.choose(&request, now, &mut PolicyTable::default());
-            let Some(expected) = choice.and_then(|choice| choice.expected) else { continue };
+            let Some(expected) = choice.and_then(|choice| choice.required_version) else {
+                continue;
+            };
             over += usize::from(play.is_over(1, now));
             assert!(
                 !play.is_over(expected, now),
--- a/crates/topazmount/src/fleet/changes.rs
+++ b/crates/topazmount/src/fleet/changes.rs
@@ -1,14 +1,14 @@
 //! What follows when beliefs on a replica are taken back: connections closed, and a line in the log.
 
 use super::gateway::Shared;
-use topazmount_gateway::Change;
+use topazmount_gateway::ReplicaChange;
 
 impl Shared {
     /// Closes what an ended incarnation left, and tells whoever reads the log of a change; `source` says where word of it
     /// came from.
-    pub(super) fn note_change(&self, change: &Change, source: &str) {
+    pub(super) fn note_change(&self, change: &ReplicaChange, source: &str) {
         match change {
-            Change::Replaced { earlier, start } => {
+            ReplicaChange::Replaced { previous: earlier, start } => {
                 self.pool.close(&earlier.incarnation_name());
                 self.metrics.event("incarnation_replaced");
                 self.journal.line(|| {
@@ -16,7 +16,7 @@
                     format!("gateway: event=incarnation_replaced id={id} was={was} is={start}")
                 });
             }
-            Change::WentBack { id, start, model, before, said } => {
+            ReplicaChange::Downgraded { id, start, model, recorded: before, reported: said } => {
                 self.metrics.event("version_went_back");
                 self.journal.line(|| {
                     format!(
--- a/crates/topazmount/src/fleet/clients.rs
+++ b/crates/topazmount/src/fleet/clients.rs
@@ -152,7 +152,7 @@
 fn log_refusal(shared: &Shared, tags: &RequestTags, host: &str, path: &str, kind: ErrorKind) {
     shared.metrics.answer(kind.name(), Duration::ZERO);
     shared.journal.line(|| {
-        let version = shared.knowledge.lock().unwrap().seen().document;
+        let version = shared.knowledge.lock().unwrap().seen_versions().document;
         format!(
             "gateway: event=answer request={} status={} reason={} host={host} path={path} \
              version={version}",
--- a/crates/topazmount/src/fleet/crash_watch.rs
+++ b/crates/topazmount/src/fleet/crash_watch.rs
@@ -72,7 +72,7 @@
     }
     let now = shared.clock.now();
     let name = instance.incarnation_name();
-    let requests = shared.knowledge.lock().unwrap().crashes().ended(&name, now);
+    let requests = shared.knowledge.lock().unwrap().crashes().on_replica_ended(&name, now);
     if requests > 0 {
         tell(shared, &instance.id, requests, "refused");
     }
--- a/crates/topazmount/src/fleet/dialect.rs
+++ b/crates/topazmount/src/fleet/dialect.rs
@@ -6,7 +6,7 @@
 use topazmount_control::{
     Document, GatewayReport, InstanceReport, OrderEnd, ReplicaReport, WeightsOrder,
 };
-use topazmount_gateway::{Catalog, CatalogProblem, Prompt, StoreEvents};
+use topazmount_gateway::{Catalog, CatalogError, Prompt, StoreEvents};
 use topazmount_types::{ErrorKind, InstanceId, Start};
 
 /// What a client's request says of itself.
@@ -215,7 +215,7 @@
     ///
     /// # Errors
     /// Why it is invalid.
-    fn catalog(&self, document: &[u8]) -> Result<Catalog, CatalogProblem>;
+    fn catalog(&self, document: &[u8]) -> Result<Catalog, CatalogError>;
 
     /// Reads a call to the control plane, the directory or the readiness address.
     fn control_call(&self, head: &RequestHead, body: &[u8]) -> ControlCall;
--- a/crates/topazmount/src/fleet/exchange/answers.rs
+++ b/crates/topazmount/src/fleet/exchange/answers.rs
@@ -62,8 +62,8 @@
             return Some(usual);
         }
         let now = self.shared.clock.now();
-        let request = ChoiceRequest { exclude: &[], held_to: None, ..self.choice_request(plan) };
-        let rested = self.shared.knowledge.lock().unwrap().retry_after_rest(&request, now);
+        let request = ChoiceRequest { tried: &[], pinned_to: None, ..self.choice_request(plan) };
+        let rested = self.shared.knowledge.lock().unwrap().retry_after_pushback(&request, now);
         Some(rested.unwrap_or(usual))
     }
 
--- a/crates/topazmount/src/fleet/exchange/attempt.rs
+++ b/crates/topazmount/src/fleet/exchange/attempt.rs
@@ -55,7 +55,7 @@
         };
         match self.ask(wire, plan, in_flight, progress).await {
             Asked::Ended(attempt) => attempt,
-            Asked::HeldBack => Attempt::Ended(AttemptEnd::HeldBack),
+            Asked::HeldBack => Attempt::Ended(AttemptEnd::NotSent),
             Asked::Mute => self.after_kept_broke(idle, plan, in_flight, progress).await,
         }
     }
@@ -71,7 +71,7 @@
     ) -> Attempt {
         let choice = &in_flight.choice;
         self.note_forgotten(choice, idle);
-        if !plan.is_repeatable() || !self.may_repeat() {
+        if !plan.is_retryable() || !self.may_repeat() {
             return Attempt::Ended(AttemptEnd::Broken);
         }
         // Also where no connection comes up: the first one may have carried the request.
@@ -93,7 +93,7 @@
         match self.ask(wire, plan, in_flight, progress).await {
             Asked::Ended(attempt) => attempt,
             Asked::HeldBack if unreachable == AttemptEnd::Unreachable => {
-                Attempt::Ended(AttemptEnd::HeldBack)
+                Attempt::Ended(AttemptEnd::NotSent)
             }
             Asked::HeldBack => Attempt::Ended(unreachable),
             Asked::Mute => Attempt::Ended(AttemptEnd::Broken),
@@ -203,24 +203,24 @@
             return None;
         }
         match self.may_repeat() {
-            true => Some(AttemptEnd::Silent),
+            true => Some(AttemptEnd::Unresponsive),
             false => is_barred.then_some(AttemptEnd::Abandoned),
         }
     }
 
     fn is_barred(&self, choice: &Choice) -> bool {
-        self.shared.knowledge.lock().unwrap().balancer().is_barred(choice)
+        self.shared.knowledge.lock().unwrap().balancer().is_excluded(choice)
     }
 
     /// Whether a request whose replica is silent is better sent to another one: nothing forbids
     /// it, and there is another.
     pub(super) fn may_switch(&self, plan: &RequestPlan) -> bool {
-        if !plan.may_be_sent_again() {
+        if !plan.may_resend() {
             return false;
         }
         let now = self.shared.clock.now();
         let mut knowledge = self.shared.knowledge.lock().unwrap();
-        knowledge.balancer().has_choice(&self.choice_request(plan), now)
+        knowledge.balancer().has_available_replica(&self.choice_request(plan), now)
     }
 
     fn upstream_bytes(&self, choice: &Choice, progress: &Progress) -> Vec<u8> {
@@ -231,7 +231,7 @@
             time_left: self.left(),
             tenant: self.admission.tenant.as_ref().map(|tenant| tenant.name.clone()),
             cache_salt: has_prompt.then(|| self.cache_salt(version)),
-            expected_version: choice.expected.filter(|_| has_prompt),
+            expected_version: choice.required_version.filter(|_| has_prompt),
             // Without a known version nothing may be shared with other replicas.
             fetch_from: choice.source.clone().filter(|_| version.is_some()),
             save_to: choice.save_to.clone().filter(|_| version.is_some()),
@@ -352,7 +352,7 @@
         let tags = self.shared.dialect.answer(&head);
         if tags.is_unexpected {
             let is_other = tags.instance.is_none_or(|id| id != choice.instance.id);
-            let named_weights = choice.expected.is_some() && self.tags.prompt.is_some();
+            let named_weights = choice.required_version.is_some() && self.tags.prompt.is_some();
             return Attempt::Ended(match (is_other, named_weights) {
                 (true, _) => AttemptEnd::WrongInstance,
                 (false, true) => self.judge_refused_version(choice, tags.version),
@@ -361,7 +361,7 @@
         }
         if tags.is_not_run {
             let asked_for_rest = tags.pushback.rest.is_some();
-            let end = if asked_for_rest { AttemptEnd::TurnedAway } else { AttemptEnd::NotRun };
+            let end = if asked_for_rest { AttemptEnd::PushedBack } else { AttemptEnd::NotRun };
             return Attempt::Ended(end);
         }
         match head.status {
--- a/crates/topazmount/src/fleet/exchange/choose.rs
+++ b/crates/topazmount/src/fleet/exchange/choose.rs
@@ -25,8 +25,8 @@
         let now = self.shared.clock.now();
         let news = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().sent(&choice, &request, now);
-            knowledge.news(&choice, &request, PromptEvent::Sent, now)
+            knowledge.balancer().on_sent(&choice, &request, now);
+            knowledge.load_update(&choice, &request, PromptEvent::Sent, now)
         };
         self.shared.peers.tell(news);
         Some(InFlight {
@@ -104,7 +104,7 @@
             {
                 let mut knowledge = self.shared.knowledge.lock().unwrap();
                 if knowledge.gateways().is_own(coordinator) {
-                    return Ok(knowledge.choose_within(&request, Some(shard), now));
+                    return Ok(knowledge.choose_in_shard(&request, Some(shard), now));
                 }
             }
             if let Some(answer) = self.ask_coordinator(plan, shard, coordinator).await {
@@ -124,13 +124,14 @@
     ) -> Option<Option<Choice>> {
         let request = self.choice_request(plan);
         let now = self.shared.clock.now();
-        let question = self.shared.knowledge.lock().unwrap().question(&request, shard, now)?;
+        let question =
+            self.shared.knowledge.lock().unwrap().placement_request(&request, shard, now)?;
         let limit = ANSWER_LIMIT.min(self.left());
         let answer = self.shared.peers.ask(coordinator, question, limit).await;
         let now = self.shared.clock.now();
         let mut knowledge = self.shared.knowledge.lock().unwrap();
         let Some(offer) = answer else {
-            knowledge.gateways().note_silent(coordinator, now);
+            knowledge.gateways().on_timeout(coordinator, now);
             drop(knowledge);
             self.shared.metrics.event("coordinator_silent");
             log::info!(
@@ -139,7 +140,7 @@
             );
             return None;
         };
-        knowledge.gateways().note_answer();
-        Some(offer.and_then(|offer| knowledge.adopt(&offer, &request, now)))
+        knowledge.gateways().on_response();
+        Some(offer.and_then(|offer| knowledge.accept_offer(&offer, &request, now)))
     }
 }
--- a/crates/topazmount/src/fleet/exchange/connection.rs
+++ b/crates/topazmount/src/fleet/exchange/connection.rs
@@ -18,7 +18,7 @@
         let service = &self.admission.service;
         let may_use = |connection| {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.connections().may_use(service, connection, plan.is_repeatable(), now)
+            knowledge.connections().may_reuse(service, connection, plan.is_retryable(), now)
         };
         let incarnation = choice.instance.incarnation_name();
         let taken = self.shared.pool.take(&incarnation, now, may_use).await;
@@ -38,11 +38,11 @@
             let balancer = knowledge.balancer();
             let is_over = balancer.has_ended(choice) || balancer.is_leaving(choice, now);
             let end = end.answer_end(&wire, is_request_sent);
-            if is_over || !knowledge.connections().may_keep(end) {
+            if is_over || !knowledge.connections().may_pool(end) {
                 return;
             }
-            let longest = knowledge.connections().most_idle(service, true, now);
-            RestBounds { most: knowledge.most_kept(service), longest }
+            let longest = knowledge.connections().max_idle(service, true, now);
+            RestBounds { most: knowledge.max_pooled_connections(service), longest }
         };
         self.shared.pool.put(&choice.instance.incarnation_name(), wire, end, bounds, now);
     }
@@ -51,7 +51,7 @@
     pub(super) fn note_forgotten(&self, choice: &Choice, idle: Duration) {
         let now = self.shared.clock.now();
         let service = &self.admission.service;
-        self.shared.knowledge.lock().unwrap().connections().forgot(service, idle, now);
+        self.shared.knowledge.lock().unwrap().connections().on_stale_connection(service, idle, now);
         self.shared.metrics.event("connection_forgotten");
         self.shared.journal.line(|| {
             format!(
--- a/crates/topazmount/src/fleet/exchange/crash.rs
+++ b/crates/topazmount/src/fleet/exchange/crash.rs
@@ -25,10 +25,10 @@
             if knowledge.balancer().is_leaving(choice, now) {
                 return;
             }
-            knowledge.crashes().broke(self.digest, &name, ran_for, now);
+            knowledge.crashes().on_connection_broken(self.digest, &name, ran_for, now);
             // The next incarnation was known first.
             let has_ended = knowledge.balancer().has_ended(choice);
-            if has_ended { knowledge.crashes().ended(&name, now) } else { 0 }
+            if has_ended { knowledge.crashes().on_replica_ended(&name, now) } else { 0 }
         };
         self.shared.journal.line(|| {
             format!(
--- a/crates/topazmount/src/fleet/exchange/late.rs
+++ b/crates/topazmount/src/fleet/exchange/late.rs
@@ -2,7 +2,7 @@
 
 use super::Exchange;
 use std::time::Duration;
-use topazmount_gateway::{Choice, Prospect, RequestPlan};
+use topazmount_gateway::{Choice, RequestPlan, TtftEstimate};
 
 impl Exchange<'_> {
     /// How long the client should stay away, where its prompt would be late at its choice. What was sent to a replica
@@ -12,15 +12,15 @@
         if is_begun || self.tags.prompt.is_none() {
             return None;
         }
-        let prospect = Prospect {
+        let prospect = TtftEstimate {
             estimate: Duration::from_secs_f64(choice.estimate_ms.max(0.0) / 1_000.0),
-            spent: self.shared.clock.now().since(self.received),
+            elapsed: self.shared.clock.now().since(self.received),
             target: self.admission.route.target_latency,
-            rank: self.admission.route.priority,
-            is_clear: choice.is_clear,
-            taken_share: choice.taken_share,
+            priority: self.admission.route.priority,
+            has_empty_queue: choice.has_empty_queue,
+            slot_utilization: choice.slot_utilization,
         };
-        let wait = prospect.wait_if_late(rand::random())?;
+        let wait = prospect.retry_delay_if_late(rand::random())?;
         self.shared.metrics.event("refused_late");
         self.shared.journal.line(|| {
             format!(
--- a/crates/topazmount/src/fleet/exchange/limit.rs
+++ b/crates/topazmount/src/fleet/exchange/limit.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
-use topazmount_gateway::{Choice, GrantAnswer, Granting, LimitNews, STRIPES, StripeId};
+use topazmount_gateway::{Choice, GrantResponse, Granter, LimitUpdate, STRIPES, StripeId};
 use topazmount_types::Time;
 
 /// Time that a granter has for its answer: the way there and back, a few milliseconds, and a moment in which its
@@ -35,7 +35,7 @@
 /// Units that a request was granted; given back when it is dropped, unless the request may have run.
 pub(super) struct Grant<'a> {
     shared: &'a Shared,
-    from: Option<(Granting, StripeId)>,
+    from: Option<(Granter, StripeId)>,
     amount: u32,
     at: Time,
     may_have_run: AtomicBool,
@@ -61,10 +61,10 @@
             return;
         }
         match granting {
-            Granting::Own => {
-                self.shared.knowledge.lock().unwrap().give_back(stripe, self.amount, now);
+            Granter::Local => {
+                self.shared.knowledge.lock().unwrap().return_units(stripe, self.amount, now);
             }
-            Granting::Other(granter) => self.shared.peers.give_back(granter, stripe, self.amount),
+            Granter::Remote(granter) => self.shared.peers.give_back(granter, stripe, self.amount),
         }
     }
 }
@@ -73,7 +73,7 @@
     /// Has the request's units granted, by whichever stripe has them; `None` where nothing limits its tenant.
     pub(super) async fn ask_limit(&self) -> Result<Option<Grant<'e>>, OverLimit> {
         let counted =
-            self.shared.knowledge.lock().unwrap().counted(self.admission, self.tags.tokens);
+            self.shared.knowledge.lock().unwrap().limit_cost(self.admission, self.tags.tokens);
         let Some((tenant, amount)) = counted else { return Ok(None) };
         let grant = |from, at| Grant {
             shared: self.shared,
@@ -87,16 +87,16 @@
         for turn in 0..STRIPES {
             let stripe = StripeId { owner: tenant, stripe: (first + turn) % STRIPES };
             let asked_at = self.shared.clock.now();
-            let granting = self.shared.knowledge.lock().unwrap().granting(stripe, asked_at);
+            let granting = self.shared.knowledge.lock().unwrap().granter(stripe, asked_at);
             let Some(granting) = granting else { continue };
             match self.ask_granter(granting, stripe, amount).await {
-                Some(GrantAnswer::Granted) => {
+                Some(GrantResponse::Granted) => {
                     return Ok(Some(grant(Some((granting, stripe)), asked_at)));
                 }
-                Some(GrantAnswer::Over(wait)) => {
+                Some(GrantResponse::LimitExceeded(wait)) => {
                     shortest = Some(shortest.map_or(wait, |known| known.min(wait)));
                 }
-                Some(GrantAnswer::NotHolder) | None => {}
+                Some(GrantResponse::NotGranter) | None => {}
             }
         }
         self.spend_ungranted(tenant, amount, shortest).map(|at| Some(grant(None, at)))
@@ -104,16 +104,16 @@
 
     async fn ask_granter(
         &self,
-        granting: Granting,
+        granting: Granter,
         stripe: StripeId,
         amount: u32,
-    ) -> Option<GrantAnswer> {
+    ) -> Option<GrantResponse> {
         let granter = match granting {
-            Granting::Own => {
+            Granter::Local => {
                 let now = self.shared.clock.now();
                 return Some(self.shared.knowledge.lock().unwrap().grant(stripe, amount, now));
             }
-            Granting::Other(granter) => granter,
+            Granter::Remote(granter) => granter,
         };
         let limit = GRANT_LIMIT.min(self.left());
         let answer = self.shared.peers.ask_grant(granter, stripe, amount, limit).await;
@@ -125,7 +125,7 @@
 
     fn note_silent_granter(&self, granter: SocketAddr) {
         let now = self.shared.clock.now();
-        self.shared.knowledge.lock().unwrap().note_silent_granter(granter, now);
+        self.shared.knowledge.lock().unwrap().on_granter_timeout(granter, now);
         self.shared.metrics.event("granter_silent");
         let request = &self.tags.id;
         self.shared
@@ -141,7 +141,8 @@
         wait: Option<Duration>,
     ) -> Result<Time, OverLimit> {
         let now = self.shared.clock.now();
-        let is_spent = self.shared.knowledge.lock().unwrap().spend_ungranted(tenant, amount, now);
+        let is_spent =
+            self.shared.knowledge.lock().unwrap().spend_without_grant(tenant, amount, now);
         if is_spent {
             self.shared.metrics.event("ungranted_spent");
             return Ok(now);
@@ -160,19 +161,19 @@
         let asked_at = self.shared.clock.now();
         let (asked, granting) = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            let asked = knowledge.limit_news(choice, asked_at)?;
-            (asked, knowledge.granting_send(asked.replica, asked_at))
+            let asked = knowledge.limit_update(choice, asked_at)?;
+            (asked, knowledge.send_granter(asked.replica, asked_at))
         };
         let answer = match granting {
             None => None,
-            Some(Granting::Own) => {
+            Some(Granter::Local) => {
                 let answer = self.shared.knowledge.lock().unwrap().grant_send(&asked, asked_at);
                 self.shared.metrics.event(send_grant_event(answer));
                 Some(answer)
             }
-            Some(Granting::Other(granter)) => self.ask_send_granter(granter, asked).await,
+            Some(Granter::Remote(granter)) => self.ask_send_granter(granter, asked).await,
         };
-        if answer == Some(GrantAnswer::Granted) {
+        if answer == Some(GrantResponse::Granted) {
             let from = granting.map(|granting| (granting, StripeId::of_replica(asked.replica)));
             let may_have_run = AtomicBool::new(false);
             return Some(Grant {
@@ -187,25 +188,31 @@
         None
     }
 
-    async fn ask_send_granter(&self, granter: SocketAddr, asked: LimitNews) -> Option<GrantAnswer> {
+    async fn ask_send_granter(
+        &self,
+        granter: SocketAddr,
+        asked: LimitUpdate,
+    ) -> Option<GrantResponse> {
         let limit = GRANT_LIMIT.min(self.left());
         let answer = self.shared.peers.ask_send_grant(granter, asked, limit).await;
         if answer.is_none() {
             let now = self.shared.clock.now();
-            self.shared.knowledge.lock().unwrap().note_silent_send_granter(granter, now);
+            self.shared.knowledge.lock().unwrap().on_send_granter_timeout(granter, now);
             self.shared.metrics.event("send_granter_silent");
         }
         answer
     }
 
-    fn note_spent(&self, choice: &Choice, replica: u64, answer: Option<GrantAnswer>) {
+    fn note_spent(&self, choice: &Choice, replica: u64, answer: Option<GrantResponse>) {
         let (event, pause) = match answer {
-            Some(GrantAnswer::Over(wait)) => ("limit_spent", wait.max(LEAST_SPENT_PAUSE)),
+            Some(GrantResponse::LimitExceeded(wait)) => {
+                ("limit_spent", wait.max(LEAST_SPENT_PAUSE))
+            }
             _ => ("limit_not_granted", NO_SEND_GRANT_PAUSE),
         };
         let pause = pause.mul_f64(1.0 + rand::random::<f64>());
         let now = self.shared.clock.now();
-        self.shared.knowledge.lock().unwrap().note_spent(replica, pause, now);
+        self.shared.knowledge.lock().unwrap().pause_replica(replica, pause, now);
         self.shared.metrics.event(event);
         self.shared.journal.line(|| {
             format!(
--- a/crates/topazmount/src/fleet/exchange/mod.rs
+++ b/crates/topazmount/src/fleet/exchange/mod.rs
@@ -156,8 +156,8 @@
         let now = self.shared.clock.now();
         let news = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().ended(&self.choice, has_first_token);
-            knowledge.news_of_end(&self.choice, event, now)
+            knowledge.balancer().on_ended(&self.choice, has_first_token);
+            knowledge.end_update(&self.choice, event, now)
         };
         self.shared.peers.tell(news);
     }
@@ -180,9 +180,9 @@
             prompt: self.tags.prompt.as_ref(),
             model: self.tags.model.as_deref(),
             namespace: self.namespace(),
-            wall: self.wall(),
-            exclude: plan.tried(),
-            held_to: plan.held_to(),
+            isolated_tenant: self.wall(),
+            tried: plan.tried(),
+            pinned_to: plan.pinned_to(),
             engine: self.engine.as_ref(),
         }
     }
@@ -219,12 +219,12 @@
     /// Serves the request to its end.
     pub(super) async fn run(mut self) -> Ending {
         let route = &self.admission.route;
-        let mut plan = RequestPlan::new(route.is_repeatable(), route.attempts);
+        let mut plan = RequestPlan::new(route.is_retryable(), route.attempts);
         let mut progress =
             Progress { last_event: self.tags.last_event.clone(), ..Progress::default() };
         let now = self.shared.clock.now();
         let service = self.admission.service.clone();
-        self.shared.knowledge.lock().unwrap().count_request(&service, now);
+        self.shared.knowledge.lock().unwrap().record_request(&service, now);
         if !self.is_admitted_by_policy(&plan) {
             return self.give_up(&plan, &progress, ErrorKind::RefusedByPolicy).await;
         }
@@ -256,7 +256,7 @@
             }
             let Some(mut in_flight) = self.choose(plan).await else {
                 // The incarnation that it was held to has ended.
-                if plan.let_go() {
+                if plan.unpin() {
                     continue;
                 }
                 return self.end_without(plan, progress, plan.refusal(), failure).await;
@@ -313,7 +313,7 @@
                 Attempt::Ended(end) => end,
             };
             self.note_failure(&in_flight, end);
-            self.log_attempt(&in_flight.choice, &format!("{end:?}"));
+            self.log_attempt(&in_flight.choice, end.name());
             if end == AttemptEnd::Broken {
                 self.look_for_crash(&in_flight.choice, began).await;
             }
@@ -347,18 +347,20 @@
             return Some(ErrorKind::AnswerIncomplete);
         }
         match plan.end(end) {
-            NextStep::Retry { is_repeat: false, .. } => None,
-            NextStep::Retry { otherwise, .. } => (!self.may_repeat()).then_some(otherwise),
-            NextStep::RetryOrPassOn => (!self.may_repeat()).then_some(ErrorKind::BackendFailed),
-            NextStep::PassOn => Some(ErrorKind::BackendFailed),
-            NextStep::Answer(kind) => Some(kind),
+            NextStep::Retry { needs_budget: false, .. } => None,
+            NextStep::Retry { fallback: otherwise, .. } => {
+                (!self.may_repeat()).then_some(otherwise)
+            }
+            NextStep::RetryOrForward => (!self.may_repeat()).then_some(ErrorKind::BackendFailed),
+            NextStep::Forward => Some(ErrorKind::BackendFailed),
+            NextStep::Respond(kind) => Some(kind),
         }
     }
 
     /// Asks the service's budget for one repeat.
     fn may_repeat(&self) -> bool {
         let now = self.shared.clock.now();
-        self.shared.knowledge.lock().unwrap().may_repeat(&self.admission.service, now)
+        self.shared.knowledge.lock().unwrap().try_retry(&self.admission.service, now)
     }
 }
 
--- a/crates/topazmount/src/fleet/exchange/pushback.rs
+++ b/crates/topazmount/src/fleet/exchange/pushback.rs
@@ -27,7 +27,7 @@
         let now = self.shared.clock.now();
         let heard = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().hear_pushback(choice, asked, now)
+            knowledge.balancer().record_pushback(choice, asked, now)
         };
         if let Some(heard) = heard {
             self.shared.metrics.rest(&self.admission.service, heard.adds);
@@ -62,8 +62,8 @@
     /// Other gateways learn of a changed limit before they send much.
     fn tell_limit(&self, choice: &Choice, now: Time) {
         let mut knowledge = self.shared.knowledge.lock().unwrap();
-        let Some(news) = knowledge.limit_news(choice, now) else { return };
-        let to = knowledge.told_of_limit(news.replica, now);
+        let Some(news) = knowledge.limit_update(choice, now) else { return };
+        let to = knowledge.limit_update_recipients(news.replica, now);
         drop(knowledge);
         self.shared.peers.tell_limit(to, news);
     }
@@ -83,7 +83,7 @@
         let now = self.shared.clock.now();
         let change = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().hear_limit(choice, limit, sent_at, now)
+            knowledge.balancer().record_limit(choice, limit, sent_at, now)
         };
         let Some(change) = change else { return };
         self.tell_limit(choice, now);
--- a/crates/topazmount/src/fleet/exchange/record.rs
+++ b/crates/topazmount/src/fleet/exchange/record.rs
@@ -6,7 +6,7 @@
 use crate::http1::ResponseHead;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use topazmount_gateway::{AttemptEnd, Choice, PromptEvent, Refused, RequestPlan};
+use topazmount_gateway::{AttemptEnd, Choice, PromptEvent, RequestPlan, VersionRefusal};
 use topazmount_types::{RunState, Time};
 
 /// Part of the target latency after which a replica that sent nothing is given up, where the
@@ -24,7 +24,7 @@
         let version = tags.version.filter(|_| !tags.is_unexpected);
         if let (Some(model), Some(version)) = (&self.tags.model, version) {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().saw_version(choice, model, version);
+            knowledge.balancer().record_version(choice, model, version);
         }
     }
 
@@ -33,9 +33,9 @@
         let now = self.shared.clock.now();
         let was_suspected = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().succeeded(choice, now);
-            knowledge.crashes().acquit(&choice.instance.incarnation_name(), sent_at);
-            knowledge.crashes().completed(self.digest, now)
+            knowledge.balancer().on_success(choice, now);
+            knowledge.crashes().clear_suspicion(&choice.instance.incarnation_name(), sent_at);
+            knowledge.crashes().record_completion(self.digest, now)
         };
         if was_suspected {
             self.shared.report_at_once();
@@ -60,9 +60,9 @@
         let now = self.shared.clock.now();
         let mut knowledge = self.shared.knowledge.lock().unwrap();
         let balancer = knowledge.balancer();
-        let has_failed = !balancer.was_heard_since(choice, sent_at);
+        let has_failed = !balancer.has_responded_since(choice, sent_at);
         if has_failed {
-            balancer.failed(choice, now);
+            balancer.on_failure(choice, now);
         }
         has_failed
     }
@@ -74,25 +74,26 @@
         let balancer = knowledge.balancer();
         match end {
             AttemptEnd::WrongInstance => {
-                balancer.is_replaced(choice, now);
+                balancer.on_address_reused(choice, now);
                 // Another replica has its address: what broke off at it before met its end.
-                let requests = knowledge.crashes().ended(&choice.instance.incarnation_name(), now);
+                let requests =
+                    knowledge.crashes().on_replica_ended(&choice.instance.incarnation_name(), now);
                 drop(knowledge);
                 if requests > 0 {
                     crash_watch::tell(self.shared, &choice.instance.id, requests, "next_life");
                 }
             }
             // What it holds was noted when it was judged.
-            AttemptEnd::OtherWeights | AttemptEnd::OldWeights => {}
+            AttemptEnd::VersionMismatch | AttemptEnd::OutdatedWeights => {}
             // A full replica is sound, what it asked was noted as it came, and silence when it was seen.
             AttemptEnd::NotRun
-            | AttemptEnd::TurnedAway
-            | AttemptEnd::HeldBack
-            | AttemptEnd::Silent
+            | AttemptEnd::PushedBack
+            | AttemptEnd::NotSent
+            | AttemptEnd::Unresponsive
             | AttemptEnd::Abandoned
             | AttemptEnd::TimedOut => {}
             AttemptEnd::Unreachable | AttemptEnd::Broken | AttemptEnd::Failed => {
-                balancer.failed(choice, now);
+                balancer.on_failure(choice, now);
                 in_flight.has_failed.store(true, Ordering::SeqCst);
             }
         }
@@ -111,8 +112,8 @@
         let request = self.choice_request(plan);
         let news = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.first_token(choice, &request, now.since(sent_at), now);
-            knowledge.news(choice, &request, PromptEvent::Read, now)
+            knowledge.on_first_token(choice, &request, now.since(sent_at), now);
+            knowledge.load_update(choice, &request, PromptEvent::Prefilled, now)
         };
         self.shared.peers.tell(news);
     }
@@ -146,14 +147,14 @@
         let now = self.shared.clock.now();
         let refused = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().refused_version(choice, model, said, now)
+            knowledge.balancer().on_version_refused(choice, model, said, now)
         };
         match refused {
-            Refused::AskAgain => AttemptEnd::OtherWeights,
-            Refused::Unexplained => AttemptEnd::NotRun,
-            Refused::WentBack(change) => {
+            VersionRefusal::RetrySame => AttemptEnd::VersionMismatch,
+            VersionRefusal::Unexplained => AttemptEnd::NotRun,
+            VersionRefusal::Downgraded(change) => {
                 self.shared.note_change(&change, "refusal");
-                AttemptEnd::OldWeights
+                AttemptEnd::OutdatedWeights
             }
         }
     }
@@ -167,7 +168,7 @@
                 self.tags.id,
                 choice.instance.id,
                 choice.instance.start,
-                choice.expected.unwrap_or(0),
+                choice.required_version.unwrap_or(0),
                 said.unwrap_or(0)
             )
         });
--- a/crates/topazmount/src/fleet/exchange/relay.rs
+++ b/crates/topazmount/src/fleet/exchange/relay.rs
@@ -78,7 +78,7 @@
         let version = self.shared.dialect.event_version(event);
         if let (Some(model), Some(version)) = (&self.tags.model, version) {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().saw_version(choice, model, version);
+            knowledge.balancer().record_version(choice, model, version);
         }
     }
 
--- a/crates/topazmount/src/fleet/exchange/resume.rs
+++ b/crates/topazmount/src/fleet/exchange/resume.rs
@@ -90,7 +90,7 @@
             Beside::Own(held) => Resumed::Here(held),
             Beside::Refused(held, end) => {
                 self.note_failure(&in_flight, end);
-                self.log_attempt(&in_flight.choice, &format!("{end:?}"));
+                self.log_attempt(&in_flight.choice, end.name());
                 plan.end(end);
                 Resumed::Here(held)
             }
--- a/crates/topazmount/src/fleet/gateway.rs
+++ b/crates/topazmount/src/fleet/gateway.rs
@@ -22,7 +22,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use topazmount_control::{CrashNotes, FleetView, GatewayReport, Seen};
-use topazmount_gateway::{HttpLimits, Knowledge};
+use topazmount_gateway::{GatewayState, HttpLimits};
 use topazmount_types::{ErrorKind, Instance, Time};
 use topazmount_wire::ClusterKey;
 
@@ -46,7 +46,7 @@
 pub(super) struct Shared {
     pub(super) clock: Clock,
     pub(super) dialect: Arc<dyn Dialect>,
-    pub(super) knowledge: Mutex<Knowledge>,
+    pub(super) knowledge: Mutex<GatewayState>,
     pub(super) journal: Journal,
     pub(super) metrics: Metrics,
     pub(super) peers: Arc<Peers>,
@@ -82,7 +82,7 @@
         let key = ClusterKey::from_text(&settings.cluster_key);
         let peers = Peers::bind(clients, settings.peer_port, key.clone()).await;
         let peers = Arc::new(peers.wrap_err("listening for other gateways")?);
-        let mut knowledge = Knowledge::new(&settings.zone, settings.gateway(), rand::random());
+        let mut knowledge = GatewayState::new(&settings.zone, settings.gateway(), rand::random());
         settings.policy_table(knowledge.policies())?;
         knowledge.set_own_address(peers.own_address());
         let (nudge, nudges) = async_channel::bounded(1);
@@ -182,7 +182,7 @@
         let open = self.open_requests.load(Ordering::SeqCst);
         {
             let mut knowledge = self.knowledge.lock().unwrap();
-            let seen = knowledge.seen();
+            let seen = knowledge.seen_versions();
             self.metrics.set_state("configuration_version", seen.document as i64);
             self.metrics.set_state("registry_revision", seen.revision as i64);
             for (name, counters) in knowledge.policies().report() {
@@ -251,7 +251,8 @@
     /// Gateways that have just been named learn the limits that this one grants of before they send much.
     fn tell_newcomers(&self) {
         let now = self.shared.clock.now();
-        let (newcomers, limits) = self.shared.knowledge.lock().unwrap().news_for_newcomers(now);
+        let (newcomers, limits) =
+            self.shared.knowledge.lock().unwrap().limit_updates_for_new_gateways(now);
         for news in limits {
             self.shared.peers.tell_limit(newcomers.clone(), news);
         }
@@ -262,7 +263,7 @@
     fn request(&mut self) -> (Seen, Option<GatewayReport>) {
         let is_ready = self.shared.is_ready();
         let report = GatewayReport { is_ready, ..self.report.clone() };
-        (self.shared.knowledge.lock().unwrap().seen(), Some(report))
+        (self.shared.knowledge.lock().unwrap().seen_versions(), Some(report))
     }
 
     fn crashes(&mut self) -> CrashNotes {
