--- a/crates/topazmount/src/fleet/peers.rs
+++ b/crates/topazmount/src/fleet/peers.rs
@@ -10,7 +10,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use topazmount_gateway::{ChoiceQuestion, GrantAnswer, LimitNews, LoadNews, Offer, StripeId};
+use topazmount_gateway::{
+    GrantResponse, LimitUpdate, LoadUpdate, PlacementOffer, PlacementRequest, StripeId,
+};
 use topazmount_types::Digest;
 use topazmount_wire::{ClusterKey, decode_payload, encode_datagram, open_datagram, seal_datagram};
 
@@ -23,27 +25,27 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Message {
     /// Its work at a replica.
-    Load(LoadNews),
+    Load(LoadUpdate),
     /// A question to a coordinator, by its number.
-    Question(u64, ChoiceQuestion),
+    Question(u64, PlacementRequest),
     /// The answer to the question of that number; none where no replica may be asked.
-    Answer(u64, Option<Offer>),
+    Answer(u64, Option<PlacementOffer>),
     /// Asks for units of a stripe of a tenant's limit, by the number of the question.
     Grant(u64, StripeId, u32),
     /// The answer to that.
-    Granted(u64, GrantAnswer),
+    Granted(u64, GrantResponse),
     /// Units that were granted for a request that has not run.
     GiveBack(StripeId, u32),
     /// What it was told of a replica's limit.
-    Limit(LimitNews),
+    Limit(LimitUpdate),
     /// Asks for one request to a replica that names a limit, by the number of the question; answered by `Granted`.
-    GrantSend(u64, LimitNews),
+    GrantSend(u64, LimitUpdate),
 }
 
 /// An answer to a question.
 enum Answer {
-    Choice(Option<Offer>),
-    Grant(GrantAnswer),
+    Choice(Option<PlacementOffer>),
+    Grant(GrantResponse),
 }
 
 /// Ways to the other gateways.
@@ -103,9 +105,9 @@
 
     /// Tells others what there is to tell, without waiting. What can't be sent is lost: the next news
     /// makes it good.
-    pub(super) fn tell(&self, news: Option<(Vec<SocketAddr>, LoadNews)>) {
+    pub(super) fn tell(&self, news: Option<(Vec<SocketAddr>, LoadUpdate)>) {
         let Some((to, news)) = news else { return };
-        self.send(to, Message::Load(LoadNews { node: self.node, ..news }));
+        self.send(to, Message::Load(LoadUpdate { node: self.node, ..news }));
     }
 
     fn send(&self, to: Vec<SocketAddr>, message: Message) {
@@ -118,9 +120,9 @@
     pub(super) async fn ask(
         &self,
         coordinator: SocketAddr,
-        question: ChoiceQuestion,
+        question: PlacementRequest,
         limit: Duration,
-    ) -> Option<Option<Offer>> {
+    ) -> Option<Option<PlacementOffer>> {
         match self.question(coordinator, |number| Message::Question(number, question), limit).await
         {
             Some(Answer::Choice(offer)) => Some(offer),
@@ -135,7 +137,7 @@
         stripe: StripeId,
         amount: u32,
         limit: Duration,
-    ) -> Option<GrantAnswer> {
+    ) -> Option<GrantResponse> {
         match self.question(granter, |number| Message::Grant(number, stripe, amount), limit).await {
             Some(Answer::Grant(answer)) => Some(answer),
             _ => None,
@@ -147,9 +149,9 @@
     pub(super) async fn ask_send_grant(
         &self,
         granter: SocketAddr,
-        asked: LimitNews,
+        asked: LimitUpdate,
         limit: Duration,
-    ) -> Option<GrantAnswer> {
+    ) -> Option<GrantResponse> {
         match self.question(granter, |number| Message::GrantSend(number, asked), limit).await {
             Some(Answer::Grant(answer)) => Some(answer),
             _ => None,
@@ -157,7 +159,7 @@
     }
 
     /// Tells others of a replica's limit, without waiting.
-    pub(super) fn tell_limit(&self, to: Vec<SocketAddr>, news: LimitNews) {
+    pub(super) fn tell_limit(&self, to: Vec<SocketAddr>, news: LimitUpdate) {
         self.send(to, Message::Limit(news));
     }
 
@@ -213,11 +215,11 @@
         let now = shared.clock.now();
         match message {
             Some(Message::Load(news)) => {
-                shared.knowledge.lock().unwrap().balancer().apply_news(&news, now);
+                shared.knowledge.lock().unwrap().balancer().apply_load_update(&news, now);
             }
             Some(Message::Question(number, question)) => {
                 shared.metrics.event("question_answered");
-                let offer = shared.knowledge.lock().unwrap().answer(&question, now);
+                let offer = shared.knowledge.lock().unwrap().place(&question, now);
                 peers.send(vec![sender], Message::Answer(number, offer));
             }
             Some(Message::Answer(number, offer)) => peers.answered(number, Answer::Choice(offer)),
@@ -230,10 +232,10 @@
                 peers.answered(number, Answer::Grant(answer));
             }
             Some(Message::GiveBack(stripe, amount)) => {
-                shared.knowledge.lock().unwrap().give_back(stripe, amount, now);
+                shared.knowledge.lock().unwrap().return_units(stripe, amount, now);
             }
             Some(Message::Limit(news)) => {
-                let to = shared.knowledge.lock().unwrap().told_limit(&news, now);
+                let to = shared.knowledge.lock().unwrap().apply_limit_update(&news, now);
                 peers.tell_limit(to, news);
             }
             Some(Message::GrantSend(number, asked)) => {
@@ -247,19 +249,19 @@
 }
 
 /// Name of a granter's answer in metrics.
-fn grant_event(answer: GrantAnswer) -> &'static str {
+fn grant_event(answer: GrantResponse) -> &'static str {
     match answer {
-        GrantAnswer::Granted => "grant_given",
-        GrantAnswer::Over(_) => "grant_refused",
-        GrantAnswer::NotHolder => "grant_not_held",
+        GrantResponse::Granted => "grant_given",
+        GrantResponse::LimitExceeded(_) => "grant_refused",
+        GrantResponse::NotGranter => "grant_not_held",
     }
 }
 
 /// The same for requests to replicas that name a limit.
-pub(super) fn send_grant_event(answer: GrantAnswer) -> &'static str {
+pub(super) fn send_grant_event(answer: GrantResponse) -> &'static str {
     match answer {
-        GrantAnswer::Granted => "send_granted",
-        GrantAnswer::Over(_) => "send_refused",
-        GrantAnswer::NotHolder => "send_not_held",
+        GrantResponse::Granted => "send_granted",
+        GrantResponse::LimitExceeded(_) => "send_refused",
+        GrantResponse::NotGranter => "send_not_held",
     }
 }
--- a/crates/topazmount/src/fleet/pool.rs
+++ b/crates/topazmount/src/fleet/pool.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::time::Duration;
-use topazmount_gateway::{AnswerEnd, IdleConnection};
+use topazmount_gateway::{IdleConnection, ResponseEnd};
 use topazmount_types::Time;
 
 /// Least time between two looks through all connections for those that have rested too long.
@@ -36,12 +36,12 @@
     }
 
     /// What is left of the connection once the body was read.
-    pub(super) fn answer_end(&self, wire: &Wire, is_request_sent: bool) -> AnswerEnd {
-        AnswerEnd {
+    pub(super) fn answer_end(&self, wire: &Wire, is_request_sent: bool) -> ResponseEnd {
+        ResponseEnd {
             is_request_sent,
             is_framed: self.is_framed,
             closes: self.closes || wire.has_ended(),
-            has_more: !wire.buffered().is_empty(),
+            has_extra_bytes: !wire.buffered().is_empty(),
         }
     }
 }
@@ -99,8 +99,10 @@
                 let mut places = self.resting.lock().unwrap();
                 let resting = places.by_replica.get_mut(incarnation)?;
                 let last = resting.last()?;
-                let connection =
-                    IdleConnection { idle: now.since(last.since), announced: last.announced };
+                let connection = IdleConnection {
+                    idle: now.since(last.since),
+                    announced_timeout: last.announced,
+                };
                 if !may_use(connection) {
                     return None;
                 }
--- a/crates/topazmount/src/fleet/settings.rs
+++ b/crates/topazmount/src/fleet/settings.rs
@@ -101,9 +101,9 @@
     fn default() -> Self {
         let cfg = ConnectionSettings::default();
         KeptConnections {
-            keep: cfg.is_on,
-            once_idle_ms: cfg.once_idle.as_millis() as u64,
-            most_idle_ms: cfg.most_idle.as_millis() as u64,
+            keep: cfg.is_enabled,
+            once_idle_ms: cfg.max_idle_non_retryable.as_millis() as u64,
+            most_idle_ms: cfg.max_idle.as_millis() as u64,
         }
     }
 }
@@ -119,7 +119,7 @@
 
 impl Default for CacheBelief {
     fn default() -> Self {
-        let surely_kept = GatewaySettings::default().surely_kept;
+        let surely_kept = GatewaySettings::default().reliable_cache_age;
         CacheBelief { surely_kept_ms: surely_kept.as_millis() as u64 }
     }
 }
@@ -317,18 +317,18 @@
         let bounds = &self.bounds;
         let revocation = Duration::from_millis(bounds.revocation_ms);
         GatewaySettings {
-            revocation: (!revocation.is_zero()).then_some(revocation),
+            max_revocation_delay: (!revocation.is_zero()).then_some(revocation),
             budget: BudgetSettings {
                 ratio: bounds.retry_ratio,
                 slack: bounds.retry_slack,
                 window: Duration::from_secs_f64(bounds.retry_window_s),
             },
             connections: ConnectionSettings {
-                is_on: self.connections.keep,
-                once_idle: Duration::from_millis(self.connections.once_idle_ms),
-                most_idle: Duration::from_millis(self.connections.most_idle_ms),
+                is_enabled: self.connections.keep,
+                max_idle_non_retryable: Duration::from_millis(self.connections.once_idle_ms),
+                max_idle: Duration::from_millis(self.connections.most_idle_ms),
             },
-            surely_kept: Duration::from_millis(self.caches.surely_kept_ms),
+            reliable_cache_age: Duration::from_millis(self.caches.surely_kept_ms),
             quota: QuotaSettings {
                 window: Duration::from_secs_f64(bounds.quota_window_s),
                 overrun: bounds.quota_overrun,
--- a/crates/topazmount/src/fleet/store_reader.rs
+++ b/crates/topazmount/src/fleet/store_reader.rs
@@ -61,7 +61,7 @@
         let position = shared.knowledge.lock().unwrap().balancer().stores().position(key);
         let Some(position) = position else { return };
         let now = shared.clock.now();
-        let is_ours = shared.knowledge.lock().unwrap().follows_store(address, now);
+        let is_ours = shared.knowledge.lock().unwrap().should_follow_store(address, now);
         let result = match is_ours {
             true => read_page(shared, key, &mut caller, &mut asked, position).await,
             false => Err(eyre!("enough other gateways follow it")),
@@ -69,7 +69,7 @@
         match result {
             Ok(()) => Timer::after(PAUSE).await,
             Err(error) => {
-                if shared.knowledge.lock().unwrap().balancer().stores().lost(key) {
+                if shared.knowledge.lock().unwrap().balancer().stores().on_unreachable(key) {
                     shared.metrics.event("store_lost");
                     log::info!("gateway: event=store_lost address={address} error={error:#}");
                 }
--- a/crates/topazmount/tests/fleet_settings.rs
+++ b/crates/topazmount/tests/fleet_settings.rs
@@ -32,11 +32,11 @@
 fn good_settings_are_taken() {
     let settings = FleetSettings::parse(GOOD).unwrap();
     assert_eq!(settings.stop_time(), Duration::from_secs(8));
-    assert_eq!(settings.gateway().revocation, Some(Duration::from_secs(5)));
+    assert_eq!(settings.gateway().max_revocation_delay, Some(Duration::from_secs(5)));
     let peers: Vec<String> = settings.seed_peers().iter().map(ToString::to_string).collect();
     assert_eq!(peers, ["10.1.0.33:7340", "10.2.0.24:7340"]);
     let unbounded = GOOD.replace("revocation_ms = 5000", "revocation_ms = 0");
-    assert_eq!(FleetSettings::parse(&unbounded).unwrap().gateway().revocation, None);
+    assert_eq!(FleetSettings::parse(&unbounded).unwrap().gateway().max_revocation_delay, None);
 }
 
 #[test]
--- a/crates/topazmount/tests/gateway_datagrams.rs
+++ b/crates/topazmount/tests/gateway_datagrams.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 use topazmount_admission::RequestLimit;
 use topazmount_gateway::{
-    ChoiceQuestion, GrantAnswer, LimitNews, LoadNews, Offer, PromptEvent, Shard, StripeId,
+    GrantResponse, LimitUpdate, LoadUpdate, PlacementOffer, PlacementRequest, PromptEvent, Shard,
+    StripeId,
 };
 
 /// Lines of a name, an encoding and the bytes in hexadecimal.
@@ -40,8 +41,8 @@
     }
 }
 
-fn load(event: PromptEvent) -> LoadNews {
-    LoadNews {
+fn load(event: PromptEvent) -> LoadUpdate {
+    LoadUpdate {
         node: 0x0102_0304_0506_0708,
         replica: 0x1112_1314_1516_1718,
         pending_prefill: 70_000,
@@ -55,7 +56,7 @@
 #[test]
 fn load_updates_have_their_recorded_encoding() {
     check("load_sent", &load(PromptEvent::Sent));
-    check("load_read", &load(PromptEvent::Read));
+    check("load_read", &load(PromptEvent::Prefilled));
     check("load_ended", &load(PromptEvent::Ended));
     check("load_failed", &load(PromptEvent::Failed));
 }
@@ -63,22 +64,22 @@
 #[test]
 fn limit_updates_have_their_recorded_encoding() {
     let limit = Some(RequestLimit::per_second(2.5));
-    let news = LimitNews { replica: 0x2122_2324, limit, age: Duration::new(1, 250) };
+    let news = LimitUpdate { replica: 0x2122_2324, limit, age: Duration::new(1, 250) };
     check("limit", &news);
-    check("no_limit", &LimitNews { limit: None, ..news });
+    check("no_limit", &LimitUpdate { limit: None, ..news });
 }
 
 #[test]
 fn grants_have_their_recorded_encoding() {
     check("stripe", &StripeId { owner: 0x3132_3334_3536_3738, stripe: 2 });
-    check("granted", &GrantAnswer::Granted);
-    check("over", &GrantAnswer::Over(Duration::from_millis(1_500)));
-    check("not_holder", &GrantAnswer::NotHolder);
+    check("granted", &GrantResponse::Granted);
+    check("over", &GrantResponse::LimitExceeded(Duration::from_millis(1_500)));
+    check("not_holder", &GrantResponse::NotGranter);
 }
 
 #[test]
 fn choices_have_their_recorded_encoding() {
-    let question = ChoiceQuestion {
+    let question = PlacementRequest {
         shard: Shard { index: 3, count: 8 },
         service: "pool".to_owned(),
         tenant: 5,
@@ -87,25 +88,26 @@
         output_tokens: 64,
         model: Some("model".to_owned()),
         namespace: 8,
-        wall: Some("tenant".to_owned()),
-        exclude: vec![9, 10],
+        isolated_tenant: Some("tenant".to_owned()),
+        skipped: vec![9, 10],
     };
     check("question", &question);
-    let bare = ChoiceQuestion { model: None, wall: None, exclude: Vec::new(), ..question };
+    let bare =
+        PlacementRequest { model: None, isolated_tenant: None, skipped: Vec::new(), ..question };
     check("bare_question", &bare);
-    let offer = Offer {
+    let offer = PlacementOffer {
         replica: 11,
         expected_prefill: 12,
         known_tokens: 13,
         estimate_ms: 14.5,
         policy: 1,
         home_rank: 2,
-        is_clear: true,
-        taken_share: 0.25,
+        has_empty_queue: true,
+        slot_utilization: 0.25,
         version: Some(15),
         source: Some("127.0.0.1:1".to_owned()),
         save_to: Some("127.0.0.1:2".to_owned()),
     };
     check("offer", &offer);
-    check("bare_offer", &Offer { version: None, source: None, save_to: None, ..offer });
+    check("bare_offer", &PlacementOffer { version: None, source: None, save_to: None, ..offer });
 }
