--- a/crates/topazmount/src/fleet/exchange/resume.rs
+++ b/crates/topazmount/src/fleet/exchange/resume.rs
@@ -3,7 +3,6 @@
 //! Silence alone does not tell a lost replica from one that reads a long prompt or loads weights: the
 //! stream is let go only once another replica has taken it.
 
-use super::record::attempt_end_label;
 use super::{Attempt, Exchange, InFlight, Progress, StreamBegin, StreamEnd, until};
 use crate::http1::BodyError;
 use std::pin::pin;
@@ -91,7 +90,7 @@
             Beside::Own(held) => Resumed::Here(held),
             Beside::Refused(held, end) => {
                 self.note_failure(&in_flight, end);
-                self.log_attempt(&in_flight.choice, attempt_end_label(end));
+                self.log_attempt(&in_flight.choice, end.name());
                 plan.end(end);
                 Resumed::Here(held)
             }
--- a/crates/topazmount/src/fleet/peers.rs
+++ b/crates/topazmount/src/fleet/peers.rs
@@ -10,7 +10,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use topazmount_gateway::{ChoiceQuestion, GrantAnswer, LimitNews, LoadNews, Offer, StripeId};
+use topazmount_gateway::{
+    GrantResponse, LimitUpdate, LoadUpdate, PlacementOffer, PlacementRequest, StripeId,
+};
 use topazmount_types::Digest;
 use topazmount_wire::{ClusterKey, decode_payload, encode_datagram, open_datagram, seal_datagram};
 
@@ -24,34 +26,34 @@
 pub enum GatewayMessage {
     /// Its work at a replica.
     #[serde(rename = "Load")]
-    LoadUpdate(LoadNews),
+    LoadUpdate(LoadUpdate),
     /// A question to a coordinator, by its number.
     #[serde(rename = "Question")]
-    ChoiceRequest(u64, ChoiceQuestion),
+    ChoiceRequest(u64, PlacementRequest),
     /// The answer to the question of that number; none where no replica may be asked.
     #[serde(rename = "Answer")]
-    ChoiceResponse(u64, Option<Offer>),
+    ChoiceResponse(u64, Option<PlacementOffer>),
     /// Asks for units of a stripe of a tenant's limit, by the number of the question.
     #[serde(rename = "Grant")]
     GrantRequest(u64, StripeId, u32),
     /// The answer to that.
     #[serde(rename = "Granted")]
-    GrantResponse(u64, GrantAnswer),
+    GrantResponse(u64, GrantResponse),
     /// Units that were granted for a request that has not run.
     #[serde(rename = "GiveBack")]
     UnitsReturned(StripeId, u32),
     /// What it was told of a replica's limit.
     #[serde(rename = "Limit")]
-    LimitUpdate(LimitNews),
+    LimitUpdate(LimitUpdate),
     /// Asks for one request to a replica that names a limit, by the number of the question; answered by `Granted`.
     #[serde(rename = "GrantSend")]
-    SendGrantRequest(u64, LimitNews),
+    SendGrantRequest(u64, LimitUpdate),
 }
 
 /// An answer to a question.
 enum Answer {
-    Choice(Option<Offer>),
-    Grant(GrantAnswer),
+    Choice(Option<PlacementOffer>),
+    Grant(GrantResponse),
 }
 
 /// Ways to the other gateways.
@@ -111,9 +113,9 @@
 
     /// Tells others what there is to tell, without waiting. What can't be sent is lost: the next news
     /// makes it good.
-    pub(super) fn tell(&self, news: Option<(Vec<SocketAddr>, LoadNews)>) {
+    pub(super) fn tell(&self, news: Option<(Vec<SocketAddr>, LoadUpdate)>) {
         let Some((to, news)) = news else { return };
-        self.send(to, GatewayMessage::LoadUpdate(LoadNews { node: self.node, ..news }));
+        self.send(to, GatewayMessage::LoadUpdate(LoadUpdate { node: self.node, ..news }));
     }
 
     fn send(&self, to: Vec<SocketAddr>, message: GatewayMessage) {
@@ -126,9 +128,9 @@
     pub(super) async fn ask(
         &self,
         coordinator: SocketAddr,
-        question: ChoiceQuestion,
+        question: PlacementRequest,
         limit: Duration,
-    ) -> Option<Option<Offer>> {
+    ) -> Option<Option<PlacementOffer>> {
         match self
             .question(coordinator, |number| GatewayMessage::ChoiceRequest(number, question), limit)
             .await
@@ -145,7 +147,7 @@
         stripe: StripeId,
         amount: u32,
         limit: Duration,
-    ) -> Option<GrantAnswer> {
+    ) -> Option<GrantResponse> {
         match self
             .question(granter, |number| GatewayMessage::GrantRequest(number, stripe, amount), limit)
             .await
@@ -160,9 +162,9 @@
     pub(super) async fn ask_send_grant(
         &self,
         granter: SocketAddr,
-        asked: LimitNews,
+        asked: LimitUpdate,
         limit: Duration,
-    ) -> Option<GrantAnswer> {
+    ) -> Option<GrantResponse> {
         match self
             .question(granter, |number| GatewayMessage::SendGrantRequest(number, asked), limit)
             .await
@@ -173,7 +175,7 @@
     }
 
     /// Tells others of a replica's limit, without waiting.
-    pub(super) fn tell_limit(&self, to: Vec<SocketAddr>, news: LimitNews) {
+    pub(super) fn tell_limit(&self, to: Vec<SocketAddr>, news: LimitUpdate) {
         self.send(to, GatewayMessage::LimitUpdate(news));
     }
 
@@ -230,11 +232,11 @@
         let now = shared.clock.now();
         match message {
             Some(GatewayMessage::LoadUpdate(news)) => {
-                shared.knowledge.lock().unwrap().balancer().apply_news(&news, now);
+                shared.knowledge.lock().unwrap().balancer().apply_load_update(&news, now);
             }
             Some(GatewayMessage::ChoiceRequest(number, question)) => {
                 shared.metrics.event("question_answered");
-                let offer = shared.knowledge.lock().unwrap().answer(&question, now);
+                let offer = shared.knowledge.lock().unwrap().place(&question, now);
                 peers.send(vec![sender], GatewayMessage::ChoiceResponse(number, offer));
             }
             Some(GatewayMessage::ChoiceResponse(number, offer)) => {
@@ -249,10 +251,10 @@
                 peers.answered(number, Answer::Grant(answer));
             }
             Some(GatewayMessage::UnitsReturned(stripe, amount)) => {
-                shared.knowledge.lock().unwrap().give_back(stripe, amount, now);
+                shared.knowledge.lock().unwrap().return_units(stripe, amount, now);
             }
             Some(GatewayMessage::LimitUpdate(news)) => {
-                let to = shared.knowledge.lock().unwrap().told_limit(&news, now);
+                let to = shared.knowledge.lock().unwrap().apply_limit_update(&news, now);
                 peers.tell_limit(to, news);
             }
             Some(GatewayMessage::SendGrantRequest(number, asked)) => {
@@ -266,19 +268,19 @@
 }
 
 /// Name of a granter's answer in metrics.
-fn grant_event(answer: GrantAnswer) -> &'static str {
+fn grant_event(answer: GrantResponse) -> &'static str {
     match answer {
-        GrantAnswer::Granted => "grant_given",
-        GrantAnswer::Over(_) => "grant_refused",
-        GrantAnswer::NotHolder => "grant_not_held",
+        GrantResponse::Granted => "grant_given",
+        GrantResponse::LimitExceeded(_) => "grant_refused",
+        GrantResponse::NotGranter => "grant_not_held",
     }
 }
 
 /// The same for requests to replicas that name a limit.
-pub(super) fn send_grant_event(answer: GrantAnswer) -> &'static str {
+pub(super) fn send_grant_event(answer: GrantResponse) -> &'static str {
     match answer {
-        GrantAnswer::Granted => "send_granted",
-        GrantAnswer::Over(_) => "send_refused",
-        GrantAnswer::NotHolder => "send_not_held",
+        GrantResponse::Granted => "send_granted",
+        GrantResponse::LimitExceeded(_) => "send_refused",
+        GrantResponse::NotGranter => "send_not_held",
     }
 }
--- a/crates/topazmount/tests/fleet_settings.rs
+++ b/crates/topazmount/tests/fleet_settings.rs
@@ -32,12 +32,15 @@
 fn good_settings_are_taken() {
     let settings = FleetSettings::parse(GOOD).unwrap();
     assert_eq!(settings.stop_timeout(), Duration::from_secs(8));
-    assert_eq!(settings.gateway_settings().revocation, Some(Duration::from_secs(5)));
+    assert_eq!(settings.gateway_settings().max_revocation_delay, Some(Duration::from_secs(5)));
     let peers: Vec<String> =
         settings.seed_peer_addresses().iter().map(ToString::to_string).collect();
     assert_eq!(peers, ["10.1.0.33:7340", "10.2.0.24:7340"]);
     let unbounded = GOOD.replace("revocation_ms = 5000", "revocation_ms = 0");
-    assert_eq!(FleetSettings::parse(&unbounded).unwrap().gateway_settings().revocation, None);
+    assert_eq!(
+        FleetSettings::parse(&unbounded).unwrap().gateway_settings().max_revocation_delay,
+        None
+    );
 }
 
 #[test]
