--- a/crates/control/src/events.rs
+++ b/crates/control/src/events.rs
@@ -1,8 +1,8 @@
 //! What a member tells of who takes part in the group, so that logs can tell a process that was
 //! never admitted from one that was admitted late, and from one that is counted twice.
 
-use crate::protocol::JoinAnswer;
-use crate::state::Level;
+use crate::protocol::JoinResponse;
+use crate::state::FeatureLevel;
 use std::fmt;
 use topazmount_consensus::{
     MemberId, MemberInfo, Membership, MembershipChange, ProposeError, Standing,
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeReason {
     /// A process that is no member asked to join.
-    Asked,
+    JoinRequested,
     /// A learner of the same name never became a voter: its disk was lost in turn.
     LearnerReplaced,
     /// A learner has the whole log.
@@ -20,62 +20,78 @@
     /// A voter does not answer, and another identity of the same name does: its disk was lost.
     VoterReplaced,
     /// A voter does not answer, and another member is there for its place.
-    Succeeded,
+    SuccessorReady,
     /// A silent voter of a group of even size, which is no safer with it.
-    Surplus,
+    SurplusVoter,
     /// A learner that does not answer any more.
-    LearnerGone,
+    LearnerTimedOut,
     /// All voters have answered for a while.
-    Complete,
+    AllVotersResponding,
+}
+
+impl ChangeReason {
+    /// Name in logs.
+    pub fn name(self) -> &'static str {
+        match self {
+            ChangeReason::JoinRequested => "Asked",
+            ChangeReason::LearnerReplaced => "LearnerReplaced",
+            ChangeReason::CaughtUp => "CaughtUp",
+            ChangeReason::VoterReplaced => "VoterReplaced",
+            ChangeReason::SuccessorReady => "Succeeded",
+            ChangeReason::SurplusVoter => "Surplus",
+            ChangeReason::LearnerTimedOut => "LearnerGone",
+            ChangeReason::AllVotersResponding => "Complete",
+        }
+    }
 }
 
 /// Something that a member decided or learned about who takes part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
     /// The membership that this member acts by has changed, committed or not.
-    InForce {
+    Changed {
         /// Who takes part.
         membership: Membership,
         /// How this member does.
         standing: Standing,
     },
     /// As leader: answered a process that asked to join.
-    JoinAsked {
+    JoinRequested {
         /// Identity of the process.
         id: MemberId,
         /// Its name and address.
         info: MemberInfo,
         /// What was said.
-        answer: JoinAnswer,
+        response: JoinResponse,
     },
     /// Outside the group: a member was asked to take this process in.
-    JoinAnswered {
+    JoinResponse {
         /// Address that was asked.
         member: String,
         /// What it said; `None` where no answer came.
-        answer: Option<JoinAnswer>,
+        response: Option<JoinResponse>,
     },
     /// As leader: proposed a change, or could not.
-    Proposed {
+    ChangeProposed {
         /// The change.
         change: MembershipChange,
         /// Why.
         reason: ChangeReason,
         /// What hindered it; the change is tried again.
-        hindrance: Option<ProposeError>,
+        error: Option<ProposeError>,
     },
     /// The group agreed that all members can apply the commands of a level.
-    LevelRaised(Level),
+    LevelRaised(FeatureLevel),
 }
 
 impl MembershipEvent {
     /// Name in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
-            MembershipEvent::InForce { .. } => "membership",
-            MembershipEvent::JoinAsked { .. } => "join_request",
-            MembershipEvent::JoinAnswered { .. } => "join_answer",
-            MembershipEvent::Proposed { .. } => "membership_change",
+            MembershipEvent::Changed { .. } => "membership",
+            MembershipEvent::JoinRequested { .. } => "join_request",
+            MembershipEvent::JoinResponse { .. } => "join_answer",
+            MembershipEvent::ChangeProposed { .. } => "membership_change",
             MembershipEvent::LevelRaised(_) => "level_raised",
         }
     }
@@ -85,8 +101,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "event={} ", self.name())?;
         match self {
-            MembershipEvent::LevelRaised(Level(level)) => write!(f, "level={level}"),
-            MembershipEvent::InForce { membership, standing } => {
+            MembershipEvent::LevelRaised(FeatureLevel(level)) => write!(f, "level={level}"),
+            MembershipEvent::Changed { membership, standing } => {
                 let voters = Members(membership.voters.iter());
                 let learners = Members(membership.learners.iter());
                 let full_size = membership.full_size();
@@ -95,14 +111,14 @@
                     "own={standing:?} full_size={full_size} voters={voters} learners={learners}"
                 )
             }
-            MembershipEvent::JoinAsked { id, info, answer } => {
+            MembershipEvent::JoinRequested { id, info, response: answer } => {
                 write!(f, "id={id} address={} answer={answer}", info.address)
             }
-            MembershipEvent::JoinAnswered { member, answer } => match answer {
+            MembershipEvent::JoinResponse { member, response: answer } => match answer {
                 Some(answer) => write!(f, "member={member} answer={answer}"),
                 None => write!(f, "member={member} answer=None"),
             },
-            MembershipEvent::Proposed { change, reason, hindrance } => {
+            MembershipEvent::ChangeProposed { change, reason, error: hindrance } => {
                 match change {
                     MembershipChange::AddLearner(id, info) => {
                         write!(f, "add_learner={id} address={}", info.address)?;
@@ -111,7 +127,7 @@
                     MembershipChange::Remove(id) => write!(f, "remove={id}")?,
                     MembershipChange::Settle => write!(f, "settle")?,
                 }
-                write!(f, " reason={reason:?}")?;
+                write!(f, " reason={}", reason.name())?;
                 match hindrance {
                     Some(error) => write!(f, " hindered={error:?}"),
                     None => Ok(()),
--- a/crates/control/src/first_form/incoming.rs
+++ b/crates/control/src/first_form/incoming.rs
@@ -2,12 +2,12 @@
 
 use crate::configuration::{ConfigurationUpdate, HistoryRow};
 use crate::fleet::{
-    BlockedRequest, Document, FleetRequest, FleetResponse, FleetView, GatewayNews, GatewayReport,
-    InstanceReport, InstanceStatus, RemovedInstance, WatchRequest,
+    BlockedRequest, Document, FleetRequest, FleetResponse, FleetView, GatewayListUpdate,
+    GatewayReport, InstanceReport, InstanceStatus, RemovedInstance, WatchRequest,
 };
 use crate::ledger::LookupOutcome;
 use crate::protocol::{
-    ChangeReply, ChangeRequest, Frame, JoinAnswer, MemberStatus, Request, RequestNumber, Response,
+    ChangeReply, ChangeRequest, Frame, JoinResponse, MemberStatus, Request, RequestNumber, Response,
 };
 use crate::state::{Command, Reply};
 use serde::Deserialize;
@@ -18,14 +18,15 @@
 
 /// A frame of the first builds.
 #[derive(Deserialize)]
-pub struct FirstFrame(First);
+pub struct IncomingLegacyFrame(First);
 
 #[derive(Deserialize)]
 enum First {
     Peer(String, Envelope),
     Request(RequestNumber, FirstRequest),
     Response(RequestNumber, FirstResponse),
-    Heard,
+    #[serde(rename = "Heard")]
+    Ack,
 }
 
 #[derive(Deserialize)]
@@ -47,7 +48,11 @@
     Depart(InstanceId),
     PutDocument(Document),
     ReadDocument,
-    NameWeights { model: String, version: u32 },
+    #[serde(rename = "NameWeights")]
+    PublishWeights {
+        model: String,
+        version: u32,
+    },
     Watch(WatchRequest),
 }
 
@@ -60,7 +65,7 @@
     Source(Revision, SourceFiles),
     History(Vec<HistoryRow>),
     Status(Box<MemberStatus>),
-    Joining(JoinAnswer),
+    Joining(JoinResponse),
     NotLeader(Option<MemberInfo>),
     Refused(Refusal),
     Fleet(FirstFleetResponse),
@@ -91,13 +96,13 @@
     blocked: Option<(u64, Vec<BlockedRequest>)>,
 }
 
-impl From<FirstFrame> for Frame {
-    fn from(frame: FirstFrame) -> Self {
+impl From<IncomingLegacyFrame> for Frame {
+    fn from(frame: IncomingLegacyFrame) -> Self {
         match frame.0 {
             First::Peer(address, envelope) => Frame::Peer(address, envelope),
             First::Request(number, request) => Frame::Request(number, request.into()),
             First::Response(number, response) => Frame::Response(number, response.into()),
-            First::Heard => Frame::Heard,
+            First::Ack => Frame::Ack,
         }
     }
 }
@@ -127,8 +132,8 @@
             FirstFleetRequest::Depart(id) => FleetRequest::Depart(id, Start::UNSAID),
             FirstFleetRequest::PutDocument(document) => FleetRequest::PutDocument(document),
             FirstFleetRequest::ReadDocument => FleetRequest::ReadDocument,
-            FirstFleetRequest::NameWeights { model, version } => {
-                FleetRequest::NameWeights { model, version }
+            FirstFleetRequest::PublishWeights { model, version } => {
+                FleetRequest::PublishWeights { model, version }
             }
             FirstFleetRequest::Watch(watch) => FleetRequest::Watch(watch),
         }
@@ -178,7 +183,7 @@
             instances: view.instances,
             removed: view.removed.into_iter().map(removed).collect(),
             statuses: view.statuses,
-            gateways: view.gateways.map(|(count, list)| GatewayNews::full(count, list)),
+            gateways: view.gateways.map(|(count, list)| GatewayListUpdate::full(count, list)),
             gateway_count: view.gateway_count,
             blocked: view.blocked,
             ..FleetView::default()
--- a/crates/control/src/first_form/mod.rs
+++ b/crates/control/src/first_form/mod.rs
@@ -6,10 +6,10 @@
 mod incoming;
 mod outgoing;
 
-use crate::fleet::{FleetRequest, FleetResponse, GatewayNews, GatewayReport};
+use crate::fleet::{FleetRequest, FleetResponse, GatewayListUpdate, GatewayReport};
 use crate::protocol::{Frame, Request, Response};
-pub use incoming::FirstFrame;
-pub use outgoing::OutgoingFrame;
+pub use incoming::IncomingLegacyFrame;
+pub use outgoing::OutgoingLegacyFrame;
 use std::collections::BTreeMap;
 use topazmount_consensus::Term;
 
@@ -19,20 +19,20 @@
 /// What one connection to a process that speaks the first form has carried: such a process is told whole lists of
 /// gateways, where others are told changes.
 #[derive(Debug, Default)]
-pub struct FirstFormLink {
+pub struct LegacyLink {
     gateways: BTreeMap<String, GatewayReport>,
     has_gateways: bool,
 }
 
-impl FirstFormLink {
+impl LegacyLink {
     /// A frame as the other side reads it; `None` where it has no such message.
-    pub fn outgoing<'a>(&mut self, frame: &'a Frame) -> Option<OutgoingFrame<'a>> {
+    pub fn outgoing<'a>(&mut self, frame: &'a Frame) -> Option<OutgoingLegacyFrame<'a>> {
         let gateways = self.gateways_in(frame);
-        OutgoingFrame::new(frame, gateways)
+        OutgoingLegacyFrame::new(frame, gateways)
     }
 
     /// A frame that came.
-    pub fn incoming(&self, frame: FirstFrame) -> Frame {
+    pub fn incoming(&self, frame: IncomingLegacyFrame) -> Frame {
         let mut frame = Frame::from(frame);
         if let Frame::Request(_, Request::Fleet(FleetRequest::Watch(watch))) = &mut frame
             && !self.has_gateways
@@ -53,7 +53,7 @@
         Some((news.count, self.gateways.values().cloned().collect()))
     }
 
-    fn apply(&mut self, news: &GatewayNews) {
+    fn apply(&mut self, news: &GatewayListUpdate) {
         if news.is_full {
             self.gateways.clear();
             self.has_gateways = true;
--- a/crates/control/src/first_form/outgoing.rs
+++ b/crates/control/src/first_form/outgoing.rs
@@ -12,14 +12,15 @@
 
 /// A frame, with what the first builds can't read put into their types.
 #[derive(Serialize)]
-pub struct OutgoingFrame<'a>(Outgoing<'a>);
+pub struct OutgoingLegacyFrame<'a>(Outgoing<'a>);
 
 #[derive(Serialize)]
 enum Outgoing<'a> {
     Peer(&'a str, &'a Envelope),
     Request(RequestNumber, OutgoingRequest<'a>),
     Response(RequestNumber, OutgoingResponse<'a>),
-    Heard,
+    #[serde(rename = "Heard")]
+    Ack,
 }
 
 #[derive(Serialize)]
@@ -73,7 +74,7 @@
     blocked: &'a Option<(u64, Vec<BlockedRequest>)>,
 }
 
-impl<'a> OutgoingFrame<'a> {
+impl<'a> OutgoingLegacyFrame<'a> {
     /// `None` where the first builds have no such message; `gateways` is the whole list where the frame has changes of it.
     pub(super) fn new(frame: &'a Frame, gateways: Option<WholeList>) -> Option<Self> {
         let frame = match frame {
@@ -84,16 +85,16 @@
             Frame::Response(number, response) => {
                 Outgoing::Response(*number, OutgoingResponse::new(response, gateways))
             }
-            Frame::Heard => Outgoing::Heard,
+            Frame::Ack => Outgoing::Ack,
         };
-        Some(OutgoingFrame(frame))
+        Some(OutgoingLegacyFrame(frame))
     }
 }
 
 impl<'a> OutgoingRequest<'a> {
     fn new(request: &'a Request) -> Option<Self> {
         match request {
-            Request::Fleet(FleetRequest::HeartbeatsHeard(_)) => None,
+            Request::Fleet(FleetRequest::ForwardedHeartbeats(_)) => None,
             // One that departs is whoever is known.
             Request::Fleet(FleetRequest::Depart(id, _)) => {
                 let depart = ChangedFleetRequest::Depart(id);
@@ -108,7 +109,7 @@
     fn new(response: &'a Response, gateways: Option<WholeList>) -> Self {
         let changed = match response {
             // Either way the heartbeat changes nothing.
-            Response::Fleet(FleetResponse::Foreign(_)) => ChangedFleetResponse::Superseded,
+            Response::Fleet(FleetResponse::Conflict(_)) => ChangedFleetResponse::Superseded,
             Response::Fleet(FleetResponse::View(view)) => {
                 ChangedFleetResponse::View(ChangedView::new(view, gateways))
             }
--- a/crates/control/src/fleet/belief.rs
+++ b/crates/control/src/fleet/belief.rs
@@ -6,7 +6,7 @@
 //! instead, four of 12 replicas that started again with older weights kept these for good, and 116 requests began on them
 //! in 14 s (a play of three members and four gateways as processes).
 
-use super::events::{BeliefChange, WeightsEvent, WordSource};
+use super::events::{RecordChange, ReportSource, WeightsEvent};
 use super::protocol::LoadedModel;
 use std::time::Duration;
 use topazmount_consensus::Term;
@@ -26,7 +26,7 @@
     pub(super) start: Start,
     /// Number of the heartbeat, or of the orders that the report counts.
     pub(super) count: u64,
-    pub(super) source: WordSource,
+    pub(super) source: ReportSource,
 }
 
 /// Weights at one incarnation.
@@ -85,10 +85,10 @@
         }
         self.count = self.count.max(word.count);
         let events = self.take(now, word, models, |_| false);
-        let is_doubtful = events.iter().any(|event| event.change == BeliefChange::Kept);
+        let is_doubtful = events.iter().any(|event| event.change == RecordChange::Kept);
         match is_doubtful {
             true => drop(self.ask_at.get_or_insert(now)),
-            false if word.source == WordSource::Heartbeat => self.settle(),
+            false if word.source == ReportSource::Heartbeat => self.settle(),
             false => {}
         }
         events
@@ -105,12 +105,12 @@
         // A report lags: what was loaded lately may not show yet.
         let is_current = now >= self.changed_at + REPORT_LAG;
         let events = self.take(now, word, models, |_| is_current);
-        let is_doubtful = events.iter().any(|event| event.change == BeliefChange::Kept);
+        let is_doubtful = events.iter().any(|event| event.change == RecordChange::Kept);
         // A report that only lags is no reason to ask, nor to ask on.
         if !is_doubtful {
             self.settle();
         }
-        if events.iter().any(|event| event.change == BeliefChange::TakenBack) {
+        if events.iter().any(|event| event.change == RecordChange::Reverted) {
             let (known, times) = self.correction;
             self.correction = (term, if known == term { times + 1 } else { 1 });
         }
@@ -130,12 +130,12 @@
             let before = self.version(&said.model);
             let change = match before {
                 Some(version) if version == said.version => continue,
-                Some(version) if version < said.version => BeliefChange::Taken,
-                Some(_) if believes(said) => BeliefChange::TakenBack,
-                Some(_) => BeliefChange::Kept,
-                None => BeliefChange::Taken,
+                Some(version) if version < said.version => RecordChange::Updated,
+                Some(_) if believes(said) => RecordChange::Reverted,
+                Some(_) => RecordChange::Kept,
+                None => RecordChange::Updated,
             };
-            if change != BeliefChange::Kept {
+            if change != RecordChange::Kept {
                 self.set(said);
                 self.changed_at = now;
             }
@@ -168,15 +168,15 @@
 }
 
 impl Word<'_> {
-    fn event(self, said: &LoadedModel, before: Option<u32>, change: BeliefChange) -> WeightsEvent {
+    fn event(self, said: &LoadedModel, before: Option<u32>, change: RecordChange) -> WeightsEvent {
         WeightsEvent {
             instance: self.instance.to_owned(),
             start: self.start,
-            count: self.count,
+            sequence: self.count,
             source: self.source,
             model: said.model.clone(),
             before,
-            said: said.version,
+            reported: said.version,
             change,
         }
     }
--- a/crates/control/src/fleet/crashes.rs
+++ b/crates/control/src/fleet/crashes.rs
@@ -30,7 +30,7 @@
 
 /// A replica that crashed while it had a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashNote {
+pub struct CrashRecord {
     /// The request.
     pub request: RequestDigest,
     /// The replica, by the identifier of the life that ended.
@@ -43,14 +43,14 @@
 
 /// What a gateway saw. Sent again until it is old: each note counts once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashNotes {
+pub struct CrashReport {
     /// Crashes.
-    pub crashes: Vec<CrashNote>,
+    pub crashes: Vec<CrashRecord>,
     /// Requests that were suspected and have run well since.
     pub completed: Vec<RequestDigest>,
 }
 
-impl CrashNotes {
+impl CrashReport {
     /// Whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.completed.is_empty()
@@ -63,7 +63,8 @@
     /// The request.
     pub request: RequestDigest,
     /// Time from the first crash that speaks against it to the last one.
-    pub evidence: Duration,
+    #[serde(rename = "evidence")]
+    pub crash_span: Duration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -144,13 +145,14 @@
 pub struct CrashLedger {
     suspects: BTreeMap<RequestDigest, Suspect>,
     /// Counts changes of what is blocked.
-    changes: u64,
+    #[serde(rename = "changes")]
+    blocked_revision: u64,
 }
 
 impl CrashLedger {
     /// Counts changes of what is blocked.
-    pub fn changes(&self) -> u64 {
-        self.changes
+    pub fn blocked_revision(&self) -> u64 {
+        self.blocked_revision
     }
 
     /// Whether a request must not be sent on.
@@ -162,33 +164,33 @@
     pub fn blocked(&self) -> Vec<BlockedRequest> {
         let blocked = self.suspects.iter().filter(|(_, one)| one.blocked_until.is_some());
         blocked
-            .map(|(request, one)| BlockedRequest { request: *request, evidence: one.evidence() })
+            .map(|(request, one)| BlockedRequest { request: *request, crash_span: one.evidence() })
             .collect()
     }
 
     /// Number of requests remembered.
-    pub fn suspects(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
     /// The part of what a gateway saw that is not known yet.
-    pub fn news(&self, notes: &CrashNotes) -> CrashNotes {
-        let is_new = |note: &&CrashNote| {
+    pub fn new_in(&self, notes: &CrashReport) -> CrashReport {
+        let is_new = |note: &&CrashRecord| {
             let suspect = self.suspects.get(&note.request);
             suspect.is_none_or(|suspect| !suspect.knows(note.replica))
         };
         let is_accused = |request: &&RequestDigest| {
             self.suspects.get(request).is_some_and(|suspect| !suspect.crashes.is_empty())
         };
-        CrashNotes {
+        CrashReport {
             crashes: notes.crashes.iter().filter(is_new).copied().collect(),
             completed: notes.completed.iter().filter(is_accused).copied().collect(),
         }
     }
 
     /// Takes what a gateway saw.
-    pub fn note(&mut self, now: Time, notes: &CrashNotes) {
-        let news = self.news(notes);
+    pub fn record(&mut self, now: Time, notes: &CrashReport) {
+        let news = self.new_in(notes);
         for note in &news.crashes {
             let at = now - note.age;
             let began = at - note.ran_for;
@@ -206,12 +208,12 @@
     }
 
     /// Whether [`CrashLedger::forget`] has something to do.
-    pub fn is_due(&self, now: Time) -> bool {
+    pub fn has_expired(&self, now: Time) -> bool {
         self.suspects.values().any(|suspect| suspect.is_due(now))
     }
 
     /// Ends blocks whose time is over, and forgets old suspicions.
-    pub fn forget(&mut self, now: Time) {
+    pub fn expire(&mut self, now: Time) {
         for suspect in self.suspects.values_mut().filter(|suspect| suspect.is_due(now)) {
             if suspect.blocked_until.is_some() {
                 // One more crash is enough to block it again.
@@ -220,7 +222,7 @@
                 suspect.crashes = row[row.len().saturating_sub(kept)..].to_vec();
                 suspect.blocked_until = None;
                 suspect.changed_at = now;
-                self.changes += 1;
+                self.blocked_revision += 1;
             }
         }
         self.suspects.retain(|_, suspect| !suspect.is_due(now));
@@ -241,12 +243,12 @@
                     let time = FIRST_BLOCK * 2u32.saturating_pow(suspect.blocks.min(8));
                     suspect.blocked_until = Some(now + time.min(LONGEST_BLOCK));
                     suspect.blocks += 1;
-                    self.changes += 1;
+                    self.blocked_revision += 1;
                 }
                 (Some(_), false) => {
                     suspect.blocked_until = None;
                     suspect.blocks = suspect.blocks.saturating_sub(1);
-                    self.changes += 1;
+                    self.blocked_revision += 1;
                 }
                 _ => {}
             }
--- a/crates/control/src/fleet/events.rs
+++ b/crates/control/src/fleet/events.rs
@@ -1,32 +1,54 @@
 //! What the leader learns of the weights at replicas, so that a log can tell which incarnation said what, and what was made
 //! of it.
 
-use super::pace::Plan;
+use super::pace::RolloutPlan;
 use std::fmt;
 use topazmount_types::{InstanceId, Start};
 
 /// Where word of a replica's weights came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WordSource {
+pub enum ReportSource {
     /// Its heartbeat, which may be seconds old.
     Heartbeat,
     /// Its report, which was asked for.
-    Report,
+    Query,
     /// Its answer to an order.
     Order,
 }
 
+impl ReportSource {
+    /// Name in logs.
+    pub fn name(self) -> &'static str {
+        match self {
+            ReportSource::Heartbeat => "Heartbeat",
+            ReportSource::Query => "Report",
+            ReportSource::Order => "Order",
+        }
+    }
+}
+
 /// A change, or a refused change, of what the leader takes a replica to hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BeliefChange {
+pub enum RecordChange {
     /// The version was taken over.
-    Taken,
+    Updated,
     /// The version is older than the one known, and was taken over.
-    TakenBack,
+    Reverted,
     /// The version is older than the one known, which was kept; the replica is asked.
     Kept,
 }
 
+impl RecordChange {
+    /// Name in logs.
+    pub fn name(&self) -> &'static str {
+        match self {
+            RecordChange::Updated => "Taken",
+            RecordChange::Reverted => "TakenBack",
+            RecordChange::Kept => "Kept",
+        }
+    }
+}
+
 /// Word of a replica's weights that differs from what was known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightsEvent {
@@ -35,17 +57,17 @@
     /// Incarnation that said it.
     pub start: Start,
     /// Number of the heartbeat, or of the orders that the report counts.
-    pub count: u64,
+    pub sequence: u64,
     /// Where it comes from.
-    pub source: WordSource,
+    pub source: ReportSource,
     /// Model.
     pub model: String,
     /// Version that was known.
     pub before: Option<u32>,
     /// Version that was said.
-    pub said: u32,
+    pub reported: u32,
     /// What was made of it.
-    pub change: BeliefChange,
+    pub change: RecordChange,
 }
 
 impl fmt::Display for WeightsEvent {
@@ -53,8 +75,14 @@
         let before = self.before.unwrap_or(0);
         write!(
             f,
-            "event=weights_heard instance={} start={} count={} by={:?} model={} before={before} said={} belief={:?}",
-            self.instance, self.start, self.count, self.source, self.model, self.said, self.change
+            "event=weights_heard instance={} start={} count={} by={} model={} before={before} said={} belief={}",
+            self.instance,
+            self.start,
+            self.sequence,
+            self.source.name(),
+            self.model,
+            self.reported,
+            self.change.name()
         )
     }
 }
@@ -65,19 +93,26 @@
     /// Service.
     pub service: String,
     /// How many at a time, and how many will be late by that.
-    pub plan: Plan,
+    pub plan: RolloutPlan,
     /// Replicas that have not begun to load.
-    pub left: usize,
+    pub remaining: usize,
 }
 
 impl fmt::Display for RolloutEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Plan { width, ahead, pause, load, late, most_away } = self.plan;
+        let RolloutPlan {
+            concurrency: width,
+            paused_ahead: ahead,
+            pause,
+            load_time: load,
+            late,
+            max_unavailable: most_away,
+        } = self.plan;
         write!(
             f,
             "event=rollout_plan service={} left={} at_once={width} ahead={ahead} most_away={most_away} pause_ms={} load_ms={} late={late}",
             self.service,
-            self.left,
+            self.remaining,
             pause.as_millis(),
             load.as_millis()
         )
--- a/crates/control/src/fleet/gateways.rs
+++ b/crates/control/src/fleet/gateways.rs
@@ -1,13 +1,13 @@
 //! The gateways that a member has heard of, as a list whose changes are told once.
 
-use super::protocol::{GatewayNews, GatewayReport, WatchRequest};
+use super::protocol::{GatewayListUpdate, GatewayReport, WatchRequest};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use topazmount_consensus::Term;
 use topazmount_types::Time;
 
 /// Silence after which a gateway is no longer named to clients.
-pub const GATEWAY_SILENCE: Duration = Duration::from_millis(1_500);
+pub const GATEWAY_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Removed gateways that are remembered; whoever has not heard of older ones gets the whole list.
 const KEPT_REMOVALS: usize = 1_024;
 /// Time between two answers to one gateway, for each gateway that there is: news that comes within it goes out together. So
@@ -70,7 +70,7 @@
 
     /// Forgets gateways that fell silent.
     pub(crate) fn forget(&mut self, now: Time) {
-        let is_silent = |entry: &Entry| now >= entry.heard_at + GATEWAY_SILENCE;
+        let is_silent = |entry: &Entry| now >= entry.heard_at + GATEWAY_TIMEOUT;
         let silent = self.entries.iter().filter(|(_, entry)| is_silent(entry));
         let silent: Vec<String> = silent.map(|(address, _)| address.clone()).collect();
         for address in silent {
@@ -101,7 +101,7 @@
     }
 
     /// What changed after what a requester has seen; `None` where nothing did.
-    pub(crate) fn news(&self, term: Term, seen: (Term, u64)) -> Option<GatewayNews> {
+    pub(crate) fn news(&self, term: Term, seen: (Term, u64)) -> Option<GatewayListUpdate> {
         let count = (term, self.count);
         if seen == count {
             return None;
@@ -113,6 +113,6 @@
         let is_gone = |address: &String| !self.entries.contains_key(address);
         let removed = self.removals.iter().filter(|(count, _)| !is_full && *count > since);
         let removed = removed.map(|(_, address)| address).filter(|one| is_gone(one)).cloned();
-        Some(GatewayNews { count, is_full, changed, removed: removed.collect() })
+        Some(GatewayListUpdate { count, is_full, changed, removed: removed.collect() })
     }
 }
--- a/crates/control/src/fleet/leader.rs
+++ b/crates/control/src/fleet/leader.rs
@@ -2,9 +2,9 @@
 
 use super::events::{RolloutEvent, WeightsEvent};
 use super::gateways::GatewayList;
-use super::orders::{FleetAction, OrderReport};
+use super::orders::{ActionReport, FleetAction};
 use super::pieces::{MOST_TOLD, PieceRate};
-use super::protocol::{FleetView, InstanceReport, LoadedModel, Seen, WatchRequest};
+use super::protocol::{FleetView, InstanceReport, LoadedModel, SeenVersions, WatchRequest};
 use super::rollout::{Rollout, RolloutSettings};
 use super::state::{FleetCommand, FleetState};
 use super::statuses::StatusList;
@@ -73,7 +73,7 @@
         self.rollout.take_plans()
     }
 
-    pub(crate) fn order_ended(&mut self, now: Time, report: OrderReport) {
+    pub(crate) fn order_ended(&mut self, now: Time, report: ActionReport) {
         self.rollout.ended(now, report);
     }
 
@@ -102,7 +102,7 @@
         for (id, instance) in state.instances() {
             let heard = *self.heard.entry(id.clone()).or_insert(now);
             if now >= heard.max(since) + REPLICA_SILENCE {
-                expired.push(FleetCommand::FallSilent(id.clone(), instance.start));
+                expired.push(FleetCommand::ExpireIncarnation(id.clone(), instance.start));
             }
         }
         // A replica that was just heard of is registered a moment later.
@@ -120,8 +120,8 @@
         self.statuses_revision = state.revision();
         let mut commands = expired;
         commands.extend(self.retire_weights(now, state));
-        if state.crashes().is_due(now) {
-            commands.push(FleetCommand::ForgetCrashes { at: now });
+        if state.crashes().has_expired(now) {
+            commands.push(FleetCommand::ExpireCrashes { at: now });
         }
         (commands, actions)
     }
@@ -226,8 +226,8 @@
     fn has_news(&self, state: &FleetState, request: &WatchRequest) -> bool {
         let seen = &request.seen;
         let has_replicas = state.revision() > seen.revision
-            || state.version() > seen.document
-            || state.crashes().changes() > seen.blocked;
+            || state.document_version() > seen.document
+            || state.crashes().blocked_revision() > seen.blocked;
         let Some((term, _)) = self.term else { return has_replicas };
         let has_statuses = wants_statuses(seen) && seen.statuses != (term, self.statuses.count());
         let is_directory = request.gateway.is_none() && request.wants_gateways;
@@ -255,8 +255,8 @@
         }
         view.document = state.document().filter(|one| one.version > seen.document).cloned();
         let crashes = state.crashes();
-        if crashes.changes() > seen.blocked {
-            view.blocked = Some((crashes.changes(), crashes.blocked()));
+        if crashes.blocked_revision() > seen.blocked {
+            view.blocked = Some((crashes.blocked_revision(), crashes.blocked()));
         }
         let Some((term, _)) = self.term else { return view };
         view.gateway_count = self.gateways.len() as u32;
@@ -270,6 +270,6 @@
     }
 }
 
-fn wants_statuses(seen: &Seen) -> bool {
+fn wants_statuses(seen: &SeenVersions) -> bool {
     seen.statuses != (Term::MAX, u64::MAX)
 }
--- a/crates/control/src/fleet/mod.rs
+++ b/crates/control/src/fleet/mod.rs
@@ -20,15 +20,17 @@
 mod target;
 mod turns;
 
-pub use crashes::{BlockedRequest, CRASHES_TO_BLOCK, CrashLedger, CrashNote, CrashNotes};
-pub use events::{BeliefChange, RolloutEvent, WeightsEvent, WordSource};
-pub use gateways::GATEWAY_SILENCE;
+pub use crashes::{BlockedRequest, CRASHES_TO_BLOCK, CrashLedger, CrashRecord, CrashReport};
+pub use events::{RecordChange, ReportSource, RolloutEvent, WeightsEvent};
+pub use gateways::GATEWAY_TIMEOUT;
 pub(crate) use leader::FleetLeader;
-pub use orders::{FleetAction, LoadMode, OrderEnd, OrderReport, ReplicaReport, WeightsOrder};
-pub use pace::Plan;
+pub use orders::{ActionReport, FleetAction, LoadMode, OrderOutcome, ReplicaReport, WeightsOrder};
+pub use pace::RolloutPlan;
 pub use protocol::{
-    Availability, FleetRequest, FleetResponse, FleetView, GatewayNews, GatewayReport,
-    InstanceReport, InstanceStatus, LoadedModel, Seen, WatchRequest,
+    Availability, FleetRequest, FleetResponse, FleetView, GatewayListUpdate, GatewayReport,
+    InstanceReport, InstanceStatus, LoadedModel, SeenVersions, WatchRequest,
 };
 pub use rollout::RolloutSettings;
-pub use state::{Document, FleetCommand, FleetState, ForeignCause, Registration, RemovedInstance};
+pub use state::{
+    Document, FleetCommand, FleetState, RegistrationConflict, RegistrationStatus, RemovedInstance,
+};
--- a/crates/control/src/fleet/orders.rs
+++ b/crates/control/src/fleet/orders.rs
@@ -44,7 +44,8 @@
     /// Send an order.
     Order(WeightsOrder),
     /// Ask a replica for its report.
-    Question {
+    #[serde(rename = "Question")]
+    Query {
         /// Replica.
         instance: InstanceId,
         /// Incarnation that is asked.
@@ -56,11 +57,12 @@
 
 /// How an order ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// It is being carried out.
     Accepted,
     /// It held already.
-    Holds,
+    #[serde(rename = "Holds")]
+    AlreadyLoaded,
     /// Another order is under way, or the expected sequence does not match.
     Conflict,
     /// A newer holder gave orders.
@@ -71,6 +73,20 @@
     Unknown,
 }
 
+impl OrderOutcome {
+    /// Name in logs.
+    pub fn name(self) -> &'static str {
+        match self {
+            OrderOutcome::Accepted => "Accepted",
+            OrderOutcome::AlreadyLoaded => "Holds",
+            OrderOutcome::Conflict => "Conflict",
+            OrderOutcome::Fenced => "Fenced",
+            OrderOutcome::Refused => "Refused",
+            OrderOutcome::Unknown => "Unknown",
+        }
+    }
+}
+
 /// What a replica reports when asked.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaReport {
@@ -87,11 +103,12 @@
 
 /// The shell's word on an action.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OrderReport {
+pub enum ActionReport {
     /// An order to an incarnation ended.
-    Order(InstanceId, Start, OrderEnd),
+    Order(InstanceId, Start, OrderOutcome),
     /// A question was answered, or not.
-    Question(InstanceId, Option<ReplicaReport>),
+    #[serde(rename = "Question")]
+    Query(InstanceId, Option<ReplicaReport>),
     /// The answer of an incarnation to either asks something of this member; told before how the action ended.
     Pushback(InstanceId, Start, Pushback),
 }
--- a/crates/control/src/fleet/pace.rs
+++ b/crates/control/src/fleet/pace.rs
@@ -98,31 +98,31 @@
 
 /// How a service's replicas load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Plan {
+pub struct RolloutPlan {
     /// Replicas that load at a time.
-    pub width: usize,
+    pub concurrency: usize,
     /// Replicas that are paused meanwhile, as the next ones.
-    pub ahead: usize,
+    pub paused_ahead: usize,
     /// For how long each is paused before its order.
     pub pause: Duration,
     /// What a load is taken to need.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Replicas that will be late by this.
     pub late: usize,
     /// Replicas that may be paused or loading at a time, of those that are not.
-    pub most_away: usize,
+    pub max_unavailable: usize,
 }
 
-impl Plan {
+impl RolloutPlan {
     /// Replicas that may be passed over in all.
     pub(super) fn away(&self) -> usize {
-        (self.width + self.ahead).min(self.most_away)
+        (self.concurrency + self.paused_ahead).min(self.max_unavailable)
     }
 }
 
 /// The plan with the fewest replicas that load at a time, as many as usual or more, by which all are in time that can be, with a long pause
 /// where any has one; else the narrowest by which the fewest are late.
-pub(super) fn plan(now: Time, work: &Work, times: &LoadTimes, first: Duration) -> Plan {
+pub(super) fn plan(now: Time, work: &Work, times: &LoadTimes, first: Duration) -> RolloutPlan {
     let most = work.most_away.min(work.waiting.len() + work.running.len()).max(1);
     let widths = work.usual.clamp(1, most)..=most;
     let of_width = |width| move |pause: &Duration| reckon(now, work, times, first, *pause, width);
@@ -152,7 +152,7 @@
 
 /// A plan, and what comes of it.
 struct Reckoned {
-    plan: Plan,
+    plan: RolloutPlan,
     /// The shortest time between the end of a load and that of its bound, of those that can be in time; `None` where one of
     /// these is late.
     least_slack: Option<Duration>,
@@ -197,7 +197,14 @@
             least_slack = least_slack.min(slack);
         }
     }
-    let plan = Plan { width, ahead, pause, load, late, most_away: work.most_away };
+    let plan = RolloutPlan {
+        concurrency: width,
+        paused_ahead: ahead,
+        pause,
+        load_time: load,
+        late,
+        max_unavailable: work.most_away,
+    };
     Reckoned { plan, least_slack }
 }
 
--- a/crates/control/src/fleet/protocol.rs
+++ b/crates/control/src/fleet/protocol.rs
@@ -1,8 +1,8 @@
 //! What gateways, replicas and operators ask the control group about the fleet.
 
-use super::crashes::{BlockedRequest, CrashNotes};
-use super::orders::OrderReport;
-use super::state::{Document, ForeignCause, RemovedInstance};
+use super::crashes::{BlockedRequest, CrashReport};
+use super::orders::ActionReport;
+use super::state::{Document, RegistrationConflict, RemovedInstance};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use topazmount_consensus::Term;
@@ -22,11 +22,13 @@
 pub enum Availability {
     /// It should.
     #[default]
-    Open,
+    #[serde(rename = "Open")]
+    Available,
     /// Others should be preferred: it loads weights.
     Paused,
     /// It must not: its weights are too old.
-    Barred,
+    #[serde(rename = "Barred")]
+    Excluded,
 }
 
 /// What only the leader knows of a replica.
@@ -55,8 +57,8 @@
     /// Models that it holds; empty for services without weights.
     pub models: Vec<LoadedModel>,
     /// Number of this heartbeat, rising within an incarnation, by which a late one is known; 0 where it has none.
-    #[serde(default)]
-    pub count: u64,
+    #[serde(default, rename = "count")]
+    pub sequence: u64,
 }
 
 /// What a gateway reports of itself with each request for news.
@@ -75,7 +77,7 @@
 /// What the requester has seen already. One that wants no documents, replicas or statuses says that it has seen the highest
 /// number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct SeenVersions {
     /// Version of its document.
     pub document: u64,
     /// Revision of its list of replicas.
@@ -91,7 +93,7 @@
 
 /// Changes of the list of gateways.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GatewayNews {
+pub struct GatewayListUpdate {
     /// Term and count of the list after them.
     pub count: (Term, u64),
     /// Whether `changed` is the whole list.
@@ -102,10 +104,10 @@
     pub removed: Vec<String>,
 }
 
-impl GatewayNews {
+impl GatewayListUpdate {
     /// The whole list.
     pub fn full(count: (Term, u64), changed: Vec<GatewayReport>) -> Self {
-        GatewayNews { count, is_full: true, changed, removed: Vec::new() }
+        GatewayListUpdate { count, is_full: true, changed, removed: Vec::new() }
     }
 }
 
@@ -115,14 +117,14 @@
     /// The requester, if it is a gateway.
     pub gateway: Option<GatewayReport>,
     /// What it has seen.
-    pub seen: Seen,
+    pub seen: SeenVersions,
     /// Whether it wants the list of gateways; otherwise it gets their number only.
     pub wants_gateways: bool,
     /// How long the answer may be held while there is no news.
     pub wait: Duration,
     /// What the requester saw of crashes lately; only the leader takes it.
     #[serde(default)]
-    pub crashes: CrashNotes,
+    pub crashes: CrashReport,
 }
 
 /// News.
@@ -147,7 +149,7 @@
     /// Statuses of replicas that changed: term and count after them, and the statuses.
     pub statuses: Option<((Term, u64), Vec<InstanceStatus>)>,
     /// Gateways, when asked for and changed.
-    pub gateways: Option<GatewayNews>,
+    pub gateways: Option<GatewayListUpdate>,
     /// Number of gateways heard of; 0 where the member does not lead.
     pub gateway_count: u32,
     /// Requests that must not be sent on, when that changed: count of changes, and all of them.
@@ -177,7 +179,8 @@
     /// A replica's heartbeat; one that says nothing new is answered by any member in contact.
     Heartbeat(InstanceReport),
     /// Heartbeats that another member has answered; taken by the leader only.
-    HeartbeatsHeard(Vec<InstanceReport>),
+    #[serde(rename = "HeartbeatsHeard")]
+    ForwardedHeartbeats(Vec<InstanceReport>),
     /// A replica leaves; answered by the leader only. An earlier incarnation than the one known has left already.
     Depart(InstanceId, Start),
     /// Puts a document in force; answered by the leader only.
@@ -185,7 +188,8 @@
     /// The newest document; answered by the leader only.
     ReadDocument,
     /// Names a version of a model's weights; answered by the leader only.
-    NameWeights {
+    #[serde(rename = "NameWeights")]
+    PublishWeights {
         /// Model.
         model: String,
         /// Version.
@@ -194,7 +198,8 @@
     /// News; answered by any member.
     Watch(WatchRequest),
     /// How an order or a question that the leader asked its own shell to send ended.
-    OrderEnded(OrderReport),
+    #[serde(rename = "OrderEnded")]
+    ActionEnded(ActionReport),
 }
 
 /// An answer about the fleet.
@@ -205,7 +210,8 @@
     /// The heartbeat is of a replica that left or that another one replaced; nothing is changed.
     Superseded,
     /// The heartbeat can't be that replica's; nothing is changed.
-    Foreign(ForeignCause),
+    #[serde(rename = "Foreign")]
+    Conflict(RegistrationConflict),
     /// The newest document.
     Document(Option<Document>),
     /// News.
--- a/crates/control/src/fleet/rollout.rs
+++ b/crates/control/src/fleet/rollout.rs
@@ -1,8 +1,8 @@
 //! Rolls named weights out to replicas by orders that only one holder gives.
 
 use super::belief::{Belief, REPORT_LAG, Word};
-use super::events::{RolloutEvent, WeightsEvent, WordSource};
-use super::orders::{FleetAction, OrderEnd, OrderReport, ReplicaReport};
+use super::events::{ReportSource, RolloutEvent, WeightsEvent};
+use super::orders::{ActionReport, FleetAction, OrderOutcome, ReplicaReport};
 use super::protocol::{Availability, InstanceReport, InstanceStatus, LoadedModel};
 use super::schedule::Schedule;
 use super::target::{OrderedBy, Phase, Target};
@@ -35,15 +35,15 @@
     /// Time for which a new holder gives no orders, so that two never take turns within it.
     pub lease: Duration,
     /// Time within which a named version must be everywhere.
-    pub spread: Duration,
+    pub deadline: Duration,
     /// What a load is taken to need until one was seen to end.
-    pub first_load: Duration,
+    pub initial_load_time: Duration,
     /// Share of a service's replicas that load at a time where that is enough: requests that begin on older weights are worth less, and stores
     /// of weights are slower with more.
-    pub usually_loading: f64,
+    pub usual_loading_share: f64,
     /// Share of a service's replicas that go on serving while others load. At the end of the bound all on older weights are barred, so that
     /// more kept back from loading would serve for seconds and then be missed at once.
-    pub least_serving: f64,
+    pub min_serving_share: f64,
     /// How long what replicas ask of the holder is believed.
     pub pushback: PushbackSettings,
 }
@@ -52,10 +52,10 @@
     fn default() -> Self {
         RolloutSettings {
             lease: Duration::from_secs(3),
-            spread: Duration::from_secs(8),
-            first_load: Duration::from_secs(1),
-            usually_loading: 1.0 / 6.0,
-            least_serving: 1.0 / 3.0,
+            deadline: Duration::from_secs(8),
+            initial_load_time: Duration::from_secs(1),
+            usual_loading_share: 1.0 / 6.0,
+            min_serving_share: 1.0 / 3.0,
             pushback: PushbackSettings::default(),
         }
     }
@@ -63,18 +63,18 @@
 
 impl RolloutSettings {
     /// Time after a version was named from which on requests must not be sent to older weights.
-    pub fn bar_after(&self) -> Duration {
-        self.spread.saturating_sub(OVERDUE_MARGIN)
+    pub fn exclude_after(&self) -> Duration {
+        self.deadline.saturating_sub(OVERDUE_MARGIN)
     }
 
     /// Replicas, of so many, that load at a time where that is enough.
     pub(super) fn usually_loading(&self, replicas: usize) -> usize {
-        (replicas as f64 * self.usually_loading).ceil() as usize
+        (replicas as f64 * self.usual_loading_share).ceil() as usize
     }
 
     /// Replicas, of so many that could serve, that may be paused or loading at a time; one always may.
     pub(super) fn most_away(&self, replicas: usize) -> usize {
-        let serving = (replicas as f64 * self.least_serving) as usize;
+        let serving = (replicas as f64 * self.min_serving_share) as usize;
         replicas.saturating_sub(serving.max(1)).max(1)
     }
 }
@@ -142,14 +142,14 @@
         let belief = &replica.belief;
         let is_overdue = belief.models().iter().any(|loaded| {
             let due = self.schedule.due(&loaded.model, loaded.version);
-            let is_due = due.is_some_and(|named| now >= named + self.settings.bar_after());
+            let is_due = due.is_some_and(|named| now >= named + self.settings.exclude_after());
             is_due || oldest.get(&loaded.model).is_some_and(|oldest| loaded.version < *oldest)
         });
         let is_loading = replica.target.is_some();
         let availability = match (is_overdue, is_loading) {
-            (true, _) => Availability::Barred,
+            (true, _) => Availability::Excluded,
             (false, true) => Availability::Paused,
-            (false, false) => Availability::Open,
+            (false, false) => Availability::Available,
         };
         Some(InstanceStatus {
             id: instance.id.clone(),
@@ -166,7 +166,7 @@
         now: Time,
         oldest: &BTreeMap<String, u32>,
     ) -> Vec<(String, u32)> {
-        let over = self.schedule.named_before(now - self.settings.bar_after());
+        let over = self.schedule.named_before(now - self.settings.exclude_after());
         let is_news = |(model, version): &(&String, u32)| {
             oldest.get(*model).is_none_or(|oldest| oldest < version)
         };
@@ -202,8 +202,8 @@
         let word = Word {
             instance: id,
             start: *start,
-            count: report.count,
-            source: WordSource::Heartbeat,
+            count: report.sequence,
+            source: ReportSource::Heartbeat,
         };
         let Some(replica) = self.replica_for(now, id, *start) else { return };
         let events = replica.belief.heard(now, word, &report.models);
@@ -226,12 +226,12 @@
     }
 
     /// Takes the shell's word on an action.
-    pub(crate) fn ended(&mut self, now: Time, report: OrderReport) {
+    pub(crate) fn ended(&mut self, now: Time, report: ActionReport) {
         match report {
-            OrderReport::Order(id, start, end) => self.order_ended(now, &id, start, end),
-            OrderReport::Question(id, Some(report)) => self.reported(now, &id, report),
-            OrderReport::Question(id, None) => self.unanswered(now, &id),
-            OrderReport::Pushback(id, start, said) => self.pushed_back(now, &id, start, said),
+            ActionReport::Order(id, start, end) => self.order_ended(now, &id, start, end),
+            ActionReport::Query(id, Some(report)) => self.reported(now, &id, report),
+            ActionReport::Query(id, None) => self.unanswered(now, &id),
+            ActionReport::Pushback(id, start, said) => self.pushed_back(now, &id, start, said),
         }
     }
 
@@ -241,7 +241,7 @@
         if self.pushbacks.hear(&incarnation_name(id, start), said, now).is_none() {
             return;
         }
-        let spread = self.settings.spread;
+        let spread = self.settings.deadline;
         let replica = self.replicas.get_mut(id).filter(|one| one.belief.start() == start);
         let is_waiting = |target: &Target| !matches!(target.phase, Phase::Loading { .. });
         if let Some(replica) = replica.filter(|one| one.target.as_ref().is_some_and(is_waiting)) {
@@ -249,7 +249,7 @@
         }
     }
 
-    fn order_ended(&mut self, now: Time, id: &str, start: Start, end: OrderEnd) {
+    fn order_ended(&mut self, now: Time, id: &str, start: Start, end: OrderOutcome) {
         let Some(replica) = self.replicas.get_mut(id) else { return };
         // What became of an order to an earlier incarnation says nothing of this one.
         if replica.belief.start() != start {
@@ -257,25 +257,25 @@
         }
         let Some(target) = &mut replica.target else { return };
         match end {
-            OrderEnd::Accepted => {
+            OrderOutcome::Accepted => {
                 let by = OrderedBy::ThisHolder;
                 target.phase = Phase::Loading { since: now, ask_at: now + FIRST_QUESTION, by };
             }
-            OrderEnd::Holds => {
+            OrderOutcome::AlreadyLoaded => {
                 let loaded = LoadedModel { model: target.model.clone(), version: target.version };
-                let word = Word { instance: id, start, count: 0, source: WordSource::Order };
+                let word = Word { instance: id, start, count: 0, source: ReportSource::Order };
                 replica.target = None;
                 let events = replica.belief.heard(now, word, &[loaded]);
                 self.events.extend(events);
             }
-            OrderEnd::Fenced => {
+            OrderOutcome::Fenced => {
                 replica.target = None;
                 replica.is_fenced = true;
             }
             // An order that got no answer may be carried out seconds later. Given again with the same sequence, at
             // most one of the two is carried out.
-            OrderEnd::Refused | OrderEnd::Unknown | OrderEnd::Conflict => {
-                replica.failed(now, self.settings.spread);
+            OrderOutcome::Refused | OrderOutcome::Unknown | OrderOutcome::Conflict => {
+                replica.failed(now, self.settings.deadline);
             }
         }
     }
@@ -291,8 +291,8 @@
             return self.unanswered(now, id);
         }
         let count = report.sequence;
-        let word = Word { instance: id, start, count, source: WordSource::Report };
-        let spread = self.settings.spread;
+        let word = Word { instance: id, start, count, source: ReportSource::Query };
+        let spread = self.settings.deadline;
         let Some(replica) = self.replica_for(now, id, start) else { return };
         replica.sequence = Some(count);
         let events = replica.belief.reported(now, term, word, &report.models);
@@ -307,7 +307,7 @@
 
     /// A question to a replica got no answer that can be used.
     fn unanswered(&mut self, now: Time, id: &str) {
-        let spread = self.settings.spread;
+        let spread = self.settings.deadline;
         if let Some(replica) = self.replicas.get_mut(id).filter(|one| one.target.is_some()) {
             replica.failed(now, spread);
         }
@@ -374,7 +374,7 @@
         if replica.belief.start() != instance.start || !may_call {
             return None;
         }
-        let question = FleetAction::Question {
+        let question = FleetAction::Query {
             instance: instance.id.clone(),
             start: instance.start,
             address: instance.address.clone(),
@@ -396,17 +396,17 @@
                     Some(FleetAction::Order(target.order(instance, fence, expected_sequence)))
                 }
                 None if now >= since + ORDER_LIMIT => {
-                    replica.failed(now, self.settings.spread);
+                    replica.failed(now, self.settings.deadline);
                     None
                 }
                 None => None,
             },
             Phase::Ordering { since } if now >= since + ORDER_LIMIT => {
-                replica.failed(now, self.settings.spread);
+                replica.failed(now, self.settings.deadline);
                 None
             }
             Phase::Loading { since, .. } if now >= since + LOAD_LIMIT => {
-                replica.failed(now, self.settings.spread);
+                replica.failed(now, self.settings.deadline);
                 None
             }
             Phase::Loading { since, ask_at, by } if now >= ask_at => {
--- a/crates/control/src/fleet/state.rs
+++ b/crates/control/src/fleet/state.rs
@@ -1,6 +1,6 @@
 //! Replicated state of the fleet.
 
-use super::crashes::{CrashLedger, CrashNotes};
+use super::crashes::{CrashLedger, CrashReport};
 use super::pieces::end_of_piece;
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
@@ -60,11 +60,14 @@
     /// Removes a replica that fell silent, whichever incarnation is known; it may come back.
     Expire(InstanceId),
     /// Removes an incarnation that said that it leaves. A later one stays, or may come.
-    Leave(InstanceId, Start),
+    #[serde(rename = "Leave")]
+    DeregisterIncarnation(InstanceId, Start),
     /// Removes an incarnation that fell silent; it may come back. A later one stays.
-    FallSilent(InstanceId, Start),
+    #[serde(rename = "FallSilent")]
+    ExpireIncarnation(InstanceId, Start),
     /// Names a version of a model's weights.
-    NameWeights {
+    #[serde(rename = "NameWeights")]
+    PublishWeights {
         /// Model.
         model: String,
         /// Version.
@@ -78,15 +81,18 @@
         version: u32,
     },
     /// Takes what gateways saw of crashes.
-    NoteCrashes {
+    #[serde(rename = "NoteCrashes")]
+    RecordCrashes {
         /// The leader's clock. It is not kept from going back, as that of the ledger of calls is: only
         /// times between crashes count, and a clock that stands still would make them one.
         at: Time,
         /// What they saw.
-        notes: CrashNotes,
+        #[serde(rename = "notes")]
+        report: CrashReport,
     },
     /// Lets the time of blocks and suspicions end.
-    ForgetCrashes {
+    #[serde(rename = "ForgetCrashes")]
+    ExpireCrashes {
         /// The leader's clock.
         at: Time,
     },
@@ -96,8 +102,8 @@
     /// The same of whichever incarnation is known, for members that know nothing of incarnations.
     pub(crate) fn without_incarnation(self) -> Self {
         match self {
-            FleetCommand::Leave(id, _) => FleetCommand::Depart(id),
-            FleetCommand::FallSilent(id, _) => FleetCommand::Expire(id),
+            FleetCommand::DeregisterIncarnation(id, _) => FleetCommand::Depart(id),
+            FleetCommand::ExpireIncarnation(id, _) => FleetCommand::Expire(id),
             same => same,
         }
     }
@@ -120,32 +126,33 @@
 
 /// What a replica's word of itself is to the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Registration {
+pub enum RegistrationStatus {
     /// It changes what is registered.
-    News,
+    New,
     /// It says what is registered.
-    Known,
+    Unchanged,
     /// It is of an incarnation that left, or that a later one, or another replica at its address, has replaced.
     Superseded,
     /// Nobody who speaks for a replica says this.
-    Foreign(ForeignCause),
+    Conflict(RegistrationConflict),
 }
 
 /// Why word under a replica's identifier can't be that replica's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ForeignCause {
+pub enum RegistrationConflict {
     /// It names a service that is not declared, and would end a replica of one that is.
     UndeclaredService,
     /// It names another service or address than the same incarnation before.
-    OtherPlace,
+    #[serde(rename = "OtherPlace")]
+    MovedAddress,
 }
 
-impl ForeignCause {
+impl RegistrationConflict {
     /// Name in answers and logs.
     pub fn name(self) -> &'static str {
         match self {
-            ForeignCause::UndeclaredService => "undeclared_service",
-            ForeignCause::OtherPlace => "other_place",
+            RegistrationConflict::UndeclaredService => "undeclared_service",
+            RegistrationConflict::MovedAddress => "other_place",
         }
     }
 }
@@ -176,7 +183,7 @@
     }
 
     /// Version of the newest document; 0 where there is none.
-    pub fn version(&self) -> u64 {
+    pub fn document_version(&self) -> u64 {
         self.document.as_ref().map_or(0, |document| document.version)
     }
 
@@ -206,46 +213,48 @@
     }
 
     /// Whether a registration would change anything.
-    pub fn is_news(&self, instance: &Instance) -> bool {
-        self.judge(instance) == Registration::News
+    pub fn would_register(&self, instance: &Instance) -> bool {
+        self.registration_status(instance) == RegistrationStatus::New
     }
 
     /// What a replica's word of itself is to what is registered, in whichever order word comes in.
-    pub fn judge(&self, said: &Instance) -> Registration {
-        if self.is_gone(&said.id, said.start) && !self.is_moved(said) {
-            return Registration::Superseded;
+    pub fn registration_status(&self, said: &Instance) -> RegistrationStatus {
+        if self.has_left(&said.id, said.start) && !self.is_moved(said) {
+            return RegistrationStatus::Superseded;
         }
         if let Some(cause) = self.foreign_cause(said) {
-            return Registration::Foreign(cause);
+            return RegistrationStatus::Conflict(cause);
         }
         let Some(known) = self.instances.get(&said.id) else {
             let is_late = self.is_of_an_earlier_life_there(said);
-            return if is_late { Registration::Superseded } else { Registration::News };
+            return if is_late { RegistrationStatus::Superseded } else { RegistrationStatus::New };
         };
         if self.outranks(said, known) {
-            return Registration::News;
+            return RegistrationStatus::New;
         }
         match said.start.cmp(&known.start) {
-            Ordering::Less => Registration::Superseded,
-            Ordering::Greater => Registration::News,
-            Ordering::Equal if *known == merged(known, said.clone()) => Registration::Known,
-            Ordering::Equal => Registration::News,
+            Ordering::Less => RegistrationStatus::Superseded,
+            Ordering::Greater => RegistrationStatus::New,
+            Ordering::Equal if *known == merged(known, said.clone()) => {
+                RegistrationStatus::Unchanged
+            }
+            Ordering::Equal => RegistrationStatus::New,
         }
     }
 
-    /// Guards replicas against another writer's word under their identifier, or at their address. Registration of a service
+    /// Guards replicas against another writer's word under their identifier, or at their address. RegistrationStatus of a service
     /// that is not declared is no fault by itself: that of its replicas may come before the document that declares it.
-    fn foreign_cause(&self, said: &Instance) -> Option<ForeignCause> {
+    fn foreign_cause(&self, said: &Instance) -> Option<RegistrationConflict> {
         let ends = |known: &&Instance| known.id == said.id || known.address == said.address;
         let mut ended = self.instances.values().filter(ends);
         if !self.is_declared(&said.service) && ended.any(|known| self.is_declared(&known.service)) {
-            return Some(ForeignCause::UndeclaredService);
+            return Some(RegistrationConflict::UndeclaredService);
         }
         let known = self.instances.get(&said.id)?;
         let is_same = known.start == said.start && said.start != Start::UNSAID;
         let is_elsewhere = known.service != said.service || known.address != said.address;
         let is_other = is_same && is_elsewhere && self.is_declared(&known.service);
-        is_other.then_some(ForeignCause::OtherPlace)
+        is_other.then_some(RegistrationConflict::MovedAddress)
     }
 
     /// Whether word under an identifier that is not known is of a replica that started before the one that has its address now: a heartbeat
@@ -269,7 +278,7 @@
     }
 
     /// Whether an incarnation left for good.
-    pub fn is_gone(&self, id: &str, start: Start) -> bool {
+    pub fn has_left(&self, id: &str, start: Start) -> bool {
         self.removals.get(id).is_some_and(|removal| removal.is_final && start <= removal.start)
     }
 
@@ -282,10 +291,10 @@
     }
 
     /// Whether a departure would change anything. One that names no incarnation means the one that is known.
-    pub fn is_leaving_news(&self, id: &str, start: Start) -> bool {
+    pub fn would_deregister(&self, id: &str, start: Start) -> bool {
         match self.instances.get(id) {
             Some(known) => start == Start::UNSAID || start >= known.start,
-            None => !self.is_gone(id, start),
+            None => !self.has_left(id, start),
         }
     }
 
@@ -322,16 +331,16 @@
     pub fn apply(&mut self, command: FleetCommand) {
         match command {
             FleetCommand::PutDocument(document) => {
-                if document.version > self.version() {
+                if document.version > self.document_version() {
                     self.document = Some(document);
                 }
             }
             FleetCommand::Register(instance) => self.register(instance),
             FleetCommand::Depart(id) => self.leave(id, Start::UNSAID),
-            FleetCommand::Leave(id, start) => self.leave(id, start),
+            FleetCommand::DeregisterIncarnation(id, start) => self.leave(id, start),
             FleetCommand::Expire(id) => self.fall_silent(id, None),
-            FleetCommand::FallSilent(id, start) => self.fall_silent(id, Some(start)),
-            FleetCommand::NameWeights { model, version } => {
+            FleetCommand::ExpireIncarnation(id, start) => self.fall_silent(id, Some(start)),
+            FleetCommand::PublishWeights { model, version } => {
                 let known = self.weights.entry(model).or_default();
                 *known = version.max(*known);
             }
@@ -339,13 +348,13 @@
                 let known = self.oldest_weights.entry(model).or_default();
                 *known = version.max(*known);
             }
-            FleetCommand::NoteCrashes { at, notes } => self.crashes.note(at, &notes),
-            FleetCommand::ForgetCrashes { at } => self.crashes.forget(at),
+            FleetCommand::RecordCrashes { at, report: notes } => self.crashes.record(at, &notes),
+            FleetCommand::ExpireCrashes { at } => self.crashes.expire(at),
         }
     }
 
     fn register(&mut self, instance: Instance) {
-        if !self.is_news(&instance) {
+        if !self.would_register(&instance) {
             return;
         }
         // An address has one replica at a time: whoever had it before is gone, also who fell silent there. A
@@ -375,7 +384,7 @@
     }
 
     fn leave(&mut self, id: InstanceId, start: Start) {
-        if self.is_leaving_news(&id, start) {
+        if self.would_deregister(&id, start) {
             let was_registered = self.instances.contains_key(&id);
             self.remove(id.clone(), true, true);
             // Who was registered has left; a start beyond it, which another writer may name, ends nobody else.
--- a/crates/control/src/fleet/statuses.rs
+++ b/crates/control/src/fleet/statuses.rs
@@ -1,7 +1,7 @@
 //! What the leader believes of replicas, as a list whose changes are told in pieces.
 
 use super::pieces::{MOST_TOLD, end_of_piece};
-use super::protocol::{InstanceStatus, Seen};
+use super::protocol::{InstanceStatus, SeenVersions};
 use super::state::FleetState;
 use std::collections::BTreeMap;
 use topazmount_consensus::Term;
@@ -46,7 +46,7 @@
     pub(super) fn news(
         &self,
         term: Term,
-        seen: &Seen,
+        seen: &SeenVersions,
         state: &FleetState,
         told_now: &[Instance],
     ) -> Option<((Term, u64), Vec<InstanceStatus>)> {
--- a/crates/control/src/fleet/turns.rs
+++ b/crates/control/src/fleet/turns.rs
@@ -1,7 +1,7 @@
 //! Which replicas are paused and may load next, as a plan for each service has it.
 
 use super::events::RolloutEvent;
-use super::pace::{self, LoadTimes, Plan, Work};
+use super::pace::{self, LoadTimes, RolloutPlan, Work};
 use super::rollout::{Replica, Rollout};
 use super::target::{Phase, Target};
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Pace {
     pub(super) times: BTreeMap<String, LoadTimes>,
-    plans: BTreeMap<String, Plan>,
+    plans: BTreeMap<String, RolloutPlan>,
     /// What was reported of each last, and when.
     reported: BTreeMap<String, (RolloutEvent, Time)>,
     pub(super) events: Vec<RolloutEvent>,
@@ -71,8 +71,8 @@
     }
 
     fn hung_after(&self, service: &str) -> Duration {
-        let width = self.pace.plans.get(service).map_or(1, |plan| plan.width);
-        let first = self.settings.first_load;
+        let width = self.pace.plans.get(service).map_or(1, |plan| plan.concurrency);
+        let first = self.settings.initial_load_time;
         match self.pace.times.get(service) {
             Some(times) => times.hung_after(width, first),
             None => LoadTimes::default().hung_after(width, first),
@@ -94,7 +94,7 @@
         let lacking = free.filter_map(|(one, replica)| {
             let (model, version, named) = self.lacking(&replica.belief, weights)?;
             let yields = now < replica.yields_until;
-            let deadline = named + self.settings.spread;
+            let deadline = named + self.settings.deadline;
             let failures = replica.failures;
             Some(Lacking { yields, failures, deadline, id: one.id.clone(), model, version })
         });
@@ -112,7 +112,7 @@
         service: &str,
         instances: &[&Instance],
         lacking: &[Lacking],
-    ) -> Plan {
+    ) -> RolloutPlan {
         let hung_after = self.hung_after(service);
         let times = self.pace.times.get(service).cloned().unwrap_or_default();
         let targets = self.known(instances).filter_map(|(_, replica)| replica.target.as_ref());
@@ -146,27 +146,27 @@
         let most_away = self.settings.most_away(instances.len().saturating_sub(work.hung));
         work.usual = self.settings.usually_loading(instances.len());
         work.most_away = most_away.saturating_sub(doubtful);
-        let plan = pace::plan(now, &work, &times, self.settings.first_load);
+        let plan = pace::plan(now, &work, &times, self.settings.initial_load_time);
         self.pace.plans.insert(service.to_owned(), plan);
         self.report(now, service, plan, work.waiting.len());
         plan
     }
 
     /// Reports a plan that differs, one by which replicas will be late, and that nothing is left.
-    fn report(&mut self, now: Time, service: &str, plan: Plan, left: usize) {
+    fn report(&mut self, now: Time, service: &str, plan: RolloutPlan, left: usize) {
         let is_news = match self.pace.reported.get(service) {
             None => left > 0,
             Some((last, at)) if left > 0 => {
-                let is_late = |plan: &Plan| plan.late > 0;
-                let differs = last.left == 0
-                    || last.plan.width != plan.width
+                let is_late = |plan: &RolloutPlan| plan.late > 0;
+                let differs = last.remaining == 0
+                    || last.plan.concurrency != plan.concurrency
                     || is_late(&last.plan) != is_late(&plan);
                 differs && now >= *at + REPORT_INTERVAL
             }
-            Some((last, _)) => last.left > 0,
+            Some((last, _)) => last.remaining > 0,
         };
         if is_news {
-            let event = RolloutEvent { service: service.to_owned(), plan, left };
+            let event = RolloutEvent { service: service.to_owned(), plan, remaining: left };
             self.pace.reported.insert(service.to_owned(), (event.clone(), now));
             self.pace.events.push(event);
         }
@@ -177,7 +177,7 @@
         now: Time,
         instances: &[&Instance],
         lacking: Vec<Lacking>,
-        plan: Plan,
+        plan: RolloutPlan,
     ) {
         let Some(service) = instances.first().map(|one| one.service.clone()) else { return };
         let hung_after = self.hung_after(&service);
@@ -204,7 +204,7 @@
 
     /// Lets replicas that have been paused long enough go on to their order, those that wait longest first, as far as the
     /// plan's places allow.
-    fn give_turns(&mut self, now: Time, instances: &[&Instance], plan: Plan) {
+    fn give_turns(&mut self, now: Time, instances: &[&Instance], plan: RolloutPlan) {
         let Some(first) = instances.first() else { return };
         let hung_after = self.hung_after(&first.service);
         let targets = self.known(instances);
@@ -220,7 +220,7 @@
             }
         }
         waiting.sort();
-        let free = plan.width.max(1).saturating_sub(taken);
+        let free = plan.concurrency.max(1).saturating_sub(taken);
         let width = taken + waiting.len().min(free);
         for (_, id) in waiting.into_iter().take(free) {
             let target = self.replicas.get_mut(&id).and_then(|replica| replica.target.as_mut());
--- a/crates/control/src/fleet_member.rs
+++ b/crates/control/src/fleet_member.rs
@@ -1,9 +1,9 @@
 //! How a member answers about the fleet.
 
-use crate::fleet::{CrashNotes, FleetCommand, FleetRequest, FleetResponse, FleetView};
+use crate::fleet::{CrashReport, FleetCommand, FleetRequest, FleetResponse, FleetView};
 use crate::member::{Member, MemberOutput, Token};
 use crate::protocol::Response;
-use crate::state::{Command, Level};
+use crate::state::{Command, FeatureLevel};
 use std::time::Duration;
 use topazmount_consensus::{Disk, Role};
 use topazmount_types::{Instance, Time};
@@ -15,25 +15,25 @@
                 self.note_crashes(now, &watch.crashes);
                 self.fleet.watch(now, token, watch);
             }
-            FleetRequest::OrderEnded(report) => {
+            FleetRequest::ActionEnded(report) => {
                 self.fleet.order_ended(now, report);
                 self.respond(token, Response::Fleet(FleetResponse::Done));
             }
             FleetRequest::Heartbeat(report) => self.on_heartbeat(now, token, report),
-            FleetRequest::HeartbeatsHeard(reports) => {
+            FleetRequest::ForwardedHeartbeats(reports) => {
                 self.on_heartbeats_heard(now, token, &reports);
             }
             FleetRequest::Depart(id, start) => {
-                let is_known = !self.state.fleet.is_leaving_news(&id, start);
-                self.change(now, token, FleetCommand::Leave(id, start), is_known);
+                let is_known = !self.state.fleet.would_deregister(&id, start);
+                self.change(now, token, FleetCommand::DeregisterIncarnation(id, start), is_known);
             }
             FleetRequest::PutDocument(document) => {
-                let is_old = document.version <= self.state.fleet.version();
+                let is_old = document.version <= self.state.fleet.document_version();
                 self.change(now, token, FleetCommand::PutDocument(document), is_old);
             }
-            FleetRequest::NameWeights { model, version } => {
+            FleetRequest::PublishWeights { model, version } => {
                 let known = self.state.fleet.weights().get(&model).copied().unwrap_or(0);
-                let command = FleetCommand::NameWeights { model, version };
+                let command = FleetCommand::PublishWeights { model, version };
                 self.change(now, token, command, version <= known);
             }
             FleetRequest::ReadDocument => {
@@ -50,10 +50,13 @@
 
     /// Commits what a gateway saw of crashes: it must outlast a loss of all power, since the caller tries
     /// again after it too. A member that does not lead takes nothing; the gateway tells the next one.
-    fn note_crashes(&mut self, now: Time, notes: &CrashNotes) {
-        let notes = self.state.fleet.crashes().news(notes);
+    fn note_crashes(&mut self, now: Time, notes: &CrashReport) {
+        let notes = self.state.fleet.crashes().new_in(notes);
         if self.replica.role() == Role::Leader && !notes.is_empty() {
-            self.propose_unasked(now, Command::Fleet(FleetCommand::NoteCrashes { at: now, notes }));
+            self.propose_unasked(
+                now,
+                Command::Fleet(FleetCommand::RecordCrashes { at: now, report: notes }),
+            );
         }
     }
 
@@ -96,7 +99,7 @@
         self.fleet.note_weights(now, self.state.fleet.weights());
         let term = self.replica.term();
         let (commands, actions) = self.fleet.lead(now, term, &self.state.fleet);
-        let may_retire = self.level() >= Level::INCARNATIONS;
+        let may_retire = self.level() >= FeatureLevel::INCARNATIONS;
         for command in commands {
             // Where a member can't apply it, the leader counts the bound by itself, and proposes it later.
             if matches!(command, FleetCommand::RetireWeights { .. }) && !may_retire {
@@ -104,7 +107,7 @@
             }
             self.propose_unasked(now, Command::Fleet(command));
         }
-        self.outputs.extend(actions.into_iter().map(MemberOutput::Act));
+        self.outputs.extend(actions.into_iter().map(MemberOutput::Perform));
     }
 
     pub(crate) fn answer_watchers(&mut self, now: Time) {
--- a/crates/control/src/heartbeats.rs
+++ b/crates/control/src/heartbeats.rs
@@ -5,7 +5,7 @@
 //! the leader, 1,004 replicas took 91% of the processor of its machine and 3% of the middle member's; spread, and with lists told by
 //! changes, 36% and 5% (means over a day of 40 s).
 
-use crate::fleet::{FleetRequest, FleetResponse, InstanceReport, Registration};
+use crate::fleet::{FleetRequest, FleetResponse, InstanceReport, RegistrationStatus};
 use crate::member::{Member, MemberOutput, Token};
 use crate::protocol::{Request, Response};
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 
 impl Heartbeats {
     fn note(&mut self, report: InstanceReport) {
-        let order = |one: &InstanceReport| (one.instance.start, one.count);
+        let order = |one: &InstanceReport| (one.instance.start, one.sequence);
         let known = self.heard.get(&report.instance.id);
         // A late one must not take the place of a newer one, nor of a later incarnation's.
         if known.is_none_or(|known| order(known) <= order(&report)) {
@@ -49,11 +49,11 @@
         // What a follower has applied is committed; whether something newer is, it knows while it is current.
         let may_answer =
             if leads { self.replica.may_read(now) } else { self.replica.is_current(now) };
-        let judged = self.state.fleet.judge(&report.instance);
+        let judged = self.state.fleet.registration_status(&report.instance);
         let refusal = match judged {
-            Registration::Superseded => Some(FleetResponse::Superseded),
-            Registration::Foreign(cause) => Some(FleetResponse::Foreign(cause)),
-            Registration::Known | Registration::News => None,
+            RegistrationStatus::Superseded => Some(FleetResponse::Superseded),
+            RegistrationStatus::Conflict(cause) => Some(FleetResponse::Conflict(cause)),
+            RegistrationStatus::Unchanged | RegistrationStatus::New => None,
         };
         if let Some(refusal) = refusal {
             let response = match may_answer {
@@ -62,7 +62,7 @@
             };
             return self.respond(token, response);
         }
-        let is_known = judged == Registration::Known;
+        let is_known = judged == RegistrationStatus::Unchanged;
         if !leads && is_known && may_answer {
             self.heartbeats.note(report);
             return self.respond(token, Response::Fleet(FleetResponse::Done));
@@ -84,8 +84,9 @@
             let response = self.not_leader(now);
             return self.respond(token, response);
         }
-        let is_known =
-            |one: &&InstanceReport| self.state.fleet.judge(&one.instance) == Registration::Known;
+        let is_known = |one: &&InstanceReport| {
+            self.state.fleet.registration_status(&one.instance) == RegistrationStatus::Unchanged
+        };
         let known = reports.iter().filter(is_known);
         for report in known {
             self.fleet.heartbeat(now, report);
@@ -101,8 +102,8 @@
         }
         let Some(leader) = self.known_leader(now) else { return };
         if let Some(reports) = self.heartbeats.due(now) {
-            let request = Request::Fleet(FleetRequest::HeartbeatsHeard(reports));
-            self.outputs.push(MemberOutput::Tell(leader.address, request));
+            let request = Request::Fleet(FleetRequest::ForwardedHeartbeats(reports));
+            self.outputs.push(MemberOutput::Notify(leader.address, request));
         }
     }
 }
--- a/crates/control/src/joining.rs
+++ b/crates/control/src/joining.rs
@@ -4,7 +4,7 @@
 //! members that it knew when it was one; whoever sends to its address (the group goes on sending to a
 //! member whose disk was lost, under the lost identity); and whoever any of these names.
 
-use crate::protocol::{JoinAnswer, Response};
+use crate::protocol::{JoinResponse, Response};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use topazmount_consensus::MemberInfo;
@@ -108,7 +108,7 @@
             asked.is_answered = answer.is_some();
         }
         match answer {
-            Some(Response::Joining(JoinAnswer::AskElsewhere { leader, members })) => {
+            Some(Response::Joining(JoinResponse::Redirect { leader, members })) => {
                 for address in members {
                     self.note(now, address);
                 }
--- a/crates/control/src/kinds.rs
+++ b/crates/control/src/kinds.rs
@@ -11,7 +11,7 @@
             Frame::Peer(_, envelope) => peer_kind(&envelope.message),
             Frame::Request(_, request) => request.kind(),
             Frame::Response(_, response) => response.kind(),
-            Frame::Heard => "heard",
+            Frame::Ack => "heard",
         }
     }
 }
@@ -36,14 +36,14 @@
     pub fn kind(&self) -> &'static str {
         match self {
             Request::Fleet(FleetRequest::Heartbeat(_)) => "heartbeat",
-            Request::Fleet(FleetRequest::HeartbeatsHeard(_)) => "heartbeats_heard",
+            Request::Fleet(FleetRequest::ForwardedHeartbeats(_)) => "heartbeats_heard",
             Request::Fleet(FleetRequest::Watch(_)) => "watch",
-            Request::Fleet(FleetRequest::OrderEnded(_)) => "order_ended",
+            Request::Fleet(FleetRequest::ActionEnded(_)) => "order_ended",
             Request::Fleet(FleetRequest::ReadDocument) => "read_document",
             Request::Fleet(
                 FleetRequest::Depart(..)
                 | FleetRequest::PutDocument(_)
-                | FleetRequest::NameWeights { .. },
+                | FleetRequest::PublishWeights { .. },
             ) => "change",
             Request::Ledger(_)
             | Request::Change(_)
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -23,19 +23,19 @@
 
 pub use configuration::{Configuration, ConfigurationUpdate, HistoryRow};
 pub use events::{ChangeReason, MembershipEvent};
-pub use first_form::{FirstFormLink, FirstFrame, OutgoingFrame};
+pub use first_form::{IncomingLegacyFrame, LegacyLink, OutgoingLegacyFrame};
 pub use fleet::{
-    Availability, BeliefChange, BlockedRequest, CRASHES_TO_BLOCK, CrashLedger, CrashNote,
-    CrashNotes, Document, FleetAction, FleetCommand, FleetRequest, FleetResponse, FleetState,
-    FleetView, ForeignCause, GATEWAY_SILENCE, GatewayNews, GatewayReport, InstanceReport,
-    InstanceStatus, LoadMode, LoadedModel, OrderEnd, OrderReport, Plan, Registration,
-    RemovedInstance, ReplicaReport, RolloutEvent, RolloutSettings, Seen, WatchRequest,
-    WeightsEvent, WeightsOrder, WordSource,
+    ActionReport, Availability, BlockedRequest, CRASHES_TO_BLOCK, CrashLedger, CrashRecord,
+    CrashReport, Document, FleetAction, FleetCommand, FleetRequest, FleetResponse, FleetState,
+    FleetView, GATEWAY_TIMEOUT, GatewayListUpdate, GatewayReport, InstanceReport, InstanceStatus,
+    LoadMode, LoadedModel, OrderOutcome, RecordChange, RegistrationConflict, RegistrationStatus,
+    RemovedInstance, ReplicaReport, ReportSource, RolloutEvent, RolloutPlan, RolloutSettings,
+    SeenVersions, WatchRequest, WeightsEvent, WeightsOrder,
 };
 pub use ledger::{ActionResult, ClaimId, ClaimOutcome, Ledger, LookupOutcome};
 pub use member::{Founding, Member, MemberError, MemberInput, MemberOutput, MemberSettings, Token};
 pub use protocol::{
-    ChangeReply, ChangeRequest, Frame, JoinAnswer, MemberStatus, NodeReport, Request,
+    ChangeReply, ChangeRequest, Frame, JoinResponse, MemberStatus, NodeReport, Request,
     RequestNumber, Response,
 };
-pub use state::{Command, ControlState, Level, Reply, TimedCommand};
+pub use state::{Command, ControlState, FeatureLevel, Reply, TimedCommand};
--- a/crates/control/src/member.rs
+++ b/crates/control/src/member.rs
@@ -10,7 +10,7 @@
 use crate::joining::Joining;
 use crate::protocol::{ChangeReply, ChangeRequest, NodeReport, Request, Response};
 use crate::standing::Noted;
-use crate::state::{Command, ControlState, Level, Reply, TimedCommand};
+use crate::state::{Command, ControlState, FeatureLevel, Reply, TimedCommand};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use thiserror::Error;
@@ -78,13 +78,13 @@
     /// A request that wants an answer.
     Request(Token, Request),
     /// The requester is gone.
-    Gone(Token),
+    Disconnected(Token),
     /// A member that was asked to take this process in answered, or did not.
-    JoinAnswered(String, Option<Response>),
+    JoinResponse(String, Option<Response>),
     /// The settings name other seeds now.
-    Seeds(Vec<String>),
+    SeedsChanged(Vec<String>),
     /// Hand over leadership before a planned stop.
-    HandOver,
+    TransferLeadership,
 }
 
 /// Something to do.
@@ -94,14 +94,14 @@
     Send(String, Envelope),
     /// Answer a request.
     Respond(Token, Response),
-    /// Send something to a replica, and tell with [`crate::FleetRequest::OrderEnded`] how it ended.
-    Act(FleetAction),
+    /// Send something to a replica, and tell with [`crate::FleetRequest::ActionEnded`] how it ended.
+    Perform(FleetAction),
     /// Send a request to the member at this address; nobody waits for the answer.
-    Tell(String, Request),
-    /// Ask the member at this address, and tell with [`MemberInput::JoinAnswered`] what it said.
-    Ask(String, Request),
+    Notify(String, Request),
+    /// Ask the member at this address, and tell with [`MemberInput::JoinResponse`] what it said.
+    RequestJoin(String, Request),
     /// Log and count what was decided about the membership.
-    Note(MembershipEvent),
+    Membership(MembershipEvent),
     /// As leader: a replica said something of its weights that was not known.
     Weights(WeightsEvent),
     /// As leader: how many replicas of a service load at a time changed, or whether all will be in time.
@@ -237,15 +237,15 @@
                     self.replica.step(now, envelope);
                 }
                 MemberInput::Request(token, request) => self.on_request(now, token, request),
-                MemberInput::Gone(token) => {
+                MemberInput::Disconnected(token) => {
                     self.waiting.retain(|_, w| w.token != token);
                     self.fleet.gone(token);
                 }
-                MemberInput::JoinAnswered(address, answer) => {
+                MemberInput::JoinResponse(address, answer) => {
                     self.on_join_answer(now, address, answer);
                 }
-                MemberInput::Seeds(seeds) => self.set_seeds(seeds),
-                MemberInput::HandOver => {
+                MemberInput::SeedsChanged(seeds) => self.set_seeds(seeds),
+                MemberInput::TransferLeadership => {
                     self.replica.transfer_leadership(now);
                 }
             }
@@ -285,7 +285,7 @@
                 Response::Source(configuration.revision(), configuration.source().clone())
             }),
             Request::Fetch { node, name, zone, have } => {
-                let report = NodeReport { name, zone, revision: have, heard_at: now };
+                let report = NodeReport { name, zone, revision: have, received_at: now };
                 self.nodes.insert(node, report);
                 let update = self.state.configuration.update_since(have);
                 let has_news = update != ConfigurationUpdate::Current;
@@ -333,9 +333,9 @@
 
     /// Which kinds of commands this leader may propose. It is agreed on in the log, so that it holds while a member is
     /// down.
-    pub(crate) fn level(&self) -> Level {
+    pub(crate) fn level(&self) -> FeatureLevel {
         match self.replica.do_all_mark_replies() {
-            true => Level::INCARNATIONS.max(self.state.level),
+            true => FeatureLevel::INCARNATIONS.max(self.state.level),
             false => self.state.level,
         }
     }
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -25,7 +25,8 @@
     /// Answer to the request of that number on the same connection.
     Response(RequestNumber, Response),
     /// A member's message has come: shows its sender that the connection carries something.
-    Heard,
+    #[serde(rename = "Heard")]
+    Ack,
 }
 
 /// What a member can be asked.
@@ -90,7 +91,8 @@
     /// Revision in force there.
     pub revision: Revision,
     /// When it asked last, on the member's clock.
-    pub heard_at: Time,
+    #[serde(rename = "heard_at")]
+    pub received_at: Time,
 }
 
 /// A member's view of itself and the group.
@@ -121,28 +123,29 @@
     /// How long it has taken part so, or has not.
     pub standing_for: Duration,
     /// Voters and learners that answered it lately, itself among them; empty unless it leads.
-    pub answering: Vec<MemberId>,
+    #[serde(rename = "answering")]
+    pub responding: Vec<MemberId>,
 }
 
 impl MemberStatus {
     /// Voters that share their name with another voter: one of them is a lost identity that still
     /// counts.
-    pub fn doubled_voters(&self) -> usize {
+    pub fn duplicate_voters(&self) -> usize {
         let voters = &self.membership.voters;
         let names: BTreeSet<&str> = voters.values().map(|info| info.name.as_str()).collect();
         voters.len() - names.len()
     }
 
     /// Voters that answered lately, if this member leads.
-    pub fn answering_voters(&self) -> usize {
+    pub fn responding_voters(&self) -> usize {
         let voters = &self.membership.voters;
-        self.answering.iter().filter(|id| voters.contains_key(id)).count()
+        self.responding.iter().filter(|id| voters.contains_key(id)).count()
     }
 }
 
 /// What a member says to a process that asks to join.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum JoinAnswer {
+pub enum JoinResponse {
     /// It was proposed as a learner.
     Proposed,
     /// A learner of the same name is removed first; the process should ask again.
@@ -154,7 +157,8 @@
     /// It is a voter already.
     Voter,
     /// The member that was asked does not lead.
-    AskElsewhere {
+    #[serde(rename = "AskElsewhere")]
+    Redirect {
         /// Who does, if it knows.
         leader: Option<MemberInfo>,
         /// Addresses of members that it knows of.
@@ -162,14 +166,18 @@
     },
 }
 
-impl fmt::Display for JoinAnswer {
+impl fmt::Display for JoinResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            JoinAnswer::AskElsewhere { leader, members } => {
+            JoinResponse::Redirect { leader, members } => {
                 let leader = leader.as_ref().map_or("none", |info| info.address.as_str());
                 write!(f, "AskElsewhere leader={leader} members={}", members.len())
             }
-            other => write!(f, "{other:?}"),
+            JoinResponse::Proposed => f.write_str("Proposed"),
+            JoinResponse::ReplacesLearner => f.write_str("ReplacesLearner"),
+            JoinResponse::Busy => f.write_str("Busy"),
+            JoinResponse::Learner => f.write_str("Learner"),
+            JoinResponse::Voter => f.write_str("Voter"),
         }
     }
 }
@@ -192,7 +200,7 @@
     /// State of the member.
     Status(Box<MemberStatus>),
     /// To a process that asks to join.
-    Joining(JoinAnswer),
+    Joining(JoinResponse),
     /// Ask this member instead, or any other when none is named.
     NotLeader(Option<MemberInfo>),
     /// Refused, with the reason.
--- a/crates/control/src/repair.rs
+++ b/crates/control/src/repair.rs
@@ -4,7 +4,7 @@
 
 use crate::events::{ChangeReason, MembershipEvent};
 use crate::member::Member;
-use crate::protocol::{JoinAnswer, Response};
+use crate::protocol::{JoinResponse, Response};
 use std::cmp::Ordering;
 use std::time::Duration;
 use topazmount_consensus::{
@@ -35,39 +35,39 @@
 impl<D: Disk> Member<D> {
     pub(crate) fn on_join(&mut self, now: Time, id: MemberId, info: MemberInfo) -> Response {
         if !self.replica.has_lease(now) {
-            return Response::Joining(JoinAnswer::AskElsewhere {
+            return Response::Joining(JoinResponse::Redirect {
                 leader: self.known_leader(now),
                 members: self.known_addresses(now),
             });
         }
         let answer = self.admit(id, &info);
-        self.note(MembershipEvent::JoinAsked { id, info, answer: answer.clone() });
+        self.note(MembershipEvent::JoinRequested { id, info, response: answer.clone() });
         Response::Joining(answer)
     }
 
-    fn admit(&mut self, id: MemberId, info: &MemberInfo) -> JoinAnswer {
+    fn admit(&mut self, id: MemberId, info: &MemberInfo) -> JoinResponse {
         let membership = self.replica.membership();
         match membership.standing(id) {
-            Standing::Voter => return JoinAnswer::Voter,
-            Standing::Learner => return JoinAnswer::Learner,
+            Standing::Voter => return JoinResponse::Voter,
+            Standing::Learner => return JoinResponse::Learner,
             Standing::Outside => {}
         }
         let (change, reason, answer) = match stale_learner(membership, info) {
             Some(old) => (
                 MembershipChange::Remove(old),
                 ChangeReason::LearnerReplaced,
-                JoinAnswer::ReplacesLearner,
+                JoinResponse::ReplacesLearner,
             ),
             None => (
                 MembershipChange::AddLearner(id, info.clone()),
-                ChangeReason::Asked,
-                JoinAnswer::Proposed,
+                ChangeReason::JoinRequested,
+                JoinResponse::Proposed,
             ),
         };
         match self.change_membership(change, reason) {
             Ok(()) => answer,
             // It is asked for again with the next request to join.
-            Err(_) => JoinAnswer::Busy,
+            Err(_) => JoinResponse::Busy,
         }
     }
 
@@ -81,7 +81,7 @@
         // It is tried again at each tick and told once.
         if hindered.is_none() || hindered != self.hindered {
             let hindrance = proposed.err();
-            self.note(MembershipEvent::Proposed { change, reason, hindrance });
+            self.note(MembershipEvent::ChangeProposed { change, reason, error: hindrance });
         }
         self.hindered = hindered;
         proposed.map(|_| ())
@@ -116,12 +116,12 @@
             .or_else(|| {
                 let is_over = membership.voters.len() > membership.full_size();
                 let gone = self.succeeded_voter(now, membership.full_size()).filter(|_| is_over);
-                gone.map(remove(ChangeReason::Succeeded))
+                gone.map(remove(ChangeReason::SuccessorReady))
             })
-            .or_else(|| surplus_voter(replica, now).map(remove(ChangeReason::Surplus)))
-            .or_else(|| silent_learner(replica, now).map(remove(ChangeReason::LearnerGone)))
+            .or_else(|| surplus_voter(replica, now).map(remove(ChangeReason::SurplusVoter)))
+            .or_else(|| silent_learner(replica, now).map(remove(ChangeReason::LearnerTimedOut)))
             .or_else(|| {
-                let change = (MembershipChange::Settle, ChangeReason::Complete);
+                let change = (MembershipChange::Settle, ChangeReason::AllVotersResponding);
                 self.is_settled(now).then_some(change)
             })
     }
@@ -161,7 +161,7 @@
             return Some(promote);
         }
         if let Some(gone) = self.succeeded_voter(now, membership.voters.len()) {
-            return Some(remove(ChangeReason::Succeeded)(gone));
+            return Some(remove(ChangeReason::SuccessorReady)(gone));
         }
         // The group grows only while nobody is missing.
         let is_complete = membership.voters.keys().all(|voter| self.is_present(*voter, now));
--- a/crates/control/src/standing.rs
+++ b/crates/control/src/standing.rs
@@ -2,7 +2,7 @@
 
 use crate::events::MembershipEvent;
 use crate::member::{Member, MemberOutput};
-use crate::protocol::{JoinAnswer, MemberStatus, Request, Response};
+use crate::protocol::{JoinResponse, MemberStatus, Request, Response};
 use std::time::Duration;
 use topazmount_consensus::{Disk, MemberId, MemberInfo, Membership, Role, Standing};
 use topazmount_types::Time;
@@ -67,7 +67,7 @@
     }
 
     pub(crate) fn note(&mut self, event: MembershipEvent) {
-        self.outputs.push(MemberOutput::Note(event));
+        self.outputs.push(MemberOutput::Membership(event));
     }
 
     pub(crate) fn note_membership(&mut self, now: Time) {
@@ -83,7 +83,7 @@
         self.noted.standing = standing;
         self.noted.changed_at = now;
         self.noted.membership = membership.clone();
-        self.note(MembershipEvent::InForce { membership, standing });
+        self.note(MembershipEvent::Changed { membership, standing });
     }
 
     /// Asks to join where that is due.
@@ -94,7 +94,7 @@
         let (id, info) = (self.replica.id(), &self.settings.info);
         for address in self.joining.due(now, &info.address, self.member_addresses()) {
             let request = Request::Join(id, info.clone());
-            self.outputs.push(MemberOutput::Ask(address, request));
+            self.outputs.push(MemberOutput::RequestJoin(address, request));
         }
     }
 
@@ -104,11 +104,11 @@
             Some(Response::Joining(answer)) => Some(answer),
             // From a member of an older version.
             Some(Response::NotLeader(leader)) => {
-                Some(JoinAnswer::AskElsewhere { leader, members: Vec::new() })
+                Some(JoinResponse::Redirect { leader, members: Vec::new() })
             }
             Some(_) | None => None,
         };
-        self.note(MembershipEvent::JoinAnswered { member, answer });
+        self.note(MembershipEvent::JoinResponse { member, response: answer });
     }
 
     /// Another member that leads: the one that this member follows, or, outside the group, the one
@@ -121,7 +121,7 @@
     }
 
     pub(crate) fn status(&mut self, now: Time) -> MemberStatus {
-        self.nodes.retain(|_, report| now < report.heard_at + NODE_REPORT_RETENTION);
+        self.nodes.retain(|_, report| now < report.received_at + NODE_REPORT_RETENTION);
         let answering = match self.replica.role() {
             Role::Leader => self.answering(now),
             _ => Vec::new(),
@@ -139,7 +139,7 @@
             now,
             standing: self.noted.standing,
             standing_for: now.since(self.noted.since),
-            answering,
+            responding: answering,
         }
     }
 
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -58,9 +58,9 @@
 
 impl Command {
     /// The command as all members at a level can apply it.
-    pub(crate) fn at_level(self, level: Level) -> Self {
+    pub(crate) fn at_level(self, level: FeatureLevel) -> Self {
         match self {
-            Command::Fleet(change) if level < Level::INCARNATIONS => {
+            Command::Fleet(change) if level < FeatureLevel::INCARNATIONS => {
                 Command::Fleet(change.without_incarnation())
             }
             same => same,
@@ -75,20 +75,20 @@
     pub at: Time,
     /// The command.
     pub command: Command,
-    /// Level of the group from this command on, if it is above the one before.
+    /// FeatureLevel of the group from this command on, if it is above the one before.
     #[serde(default)]
-    pub level: Level,
+    pub level: FeatureLevel,
 }
 
 /// Which kinds of commands all members can apply. It only rises: a member that can't has no way back into the group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Level(pub u8);
+pub struct FeatureLevel(pub u8);
 
-impl Level {
+impl FeatureLevel {
     /// What the first builds apply.
-    pub const FIRST: Level = Level(0);
+    pub const INITIAL: FeatureLevel = FeatureLevel(0);
     /// Commands that name incarnations of replicas, and those that retire weights.
-    pub const INCARNATIONS: Level = Level(1);
+    pub const INCARNATIONS: FeatureLevel = FeatureLevel(1);
 }
 
 /// Result of a command.
@@ -122,7 +122,7 @@
     pub fleet: FleetState,
     /// Which kinds of commands all members can apply.
     #[serde(default)]
-    pub level: Level,
+    pub level: FeatureLevel,
 }
 
 impl ControlState {
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -71,7 +71,7 @@
         start: Start(1),
     };
     let models = vec![LoadedModel { model: "model".to_owned(), version: 1 }];
-    InstanceReport { instance, models, count }
+    InstanceReport { instance, models, sequence: count }
 }
 
 #[derive(Default)]
@@ -159,7 +159,7 @@
     pub fn name_seeds(&mut self, host: Host, seeds: &[Host]) {
         self.machines.entry(host).or_default().seeds = seeds.to_vec();
         let addresses = seeds.iter().map(|seed| address(*seed)).collect();
-        self.step(host, vec![MemberInput::Seeds(addresses)]);
+        self.step(host, vec![MemberInput::SeedsChanged(addresses)]);
     }
 
     fn open(&mut self, host: Host, founding: Option<&Founding>) {
@@ -313,7 +313,7 @@
                 }
                 self.send(host, host_of(&to), MemberInput::Peer(address(host), envelope));
             }
-            MemberOutput::Ask(to, request) => {
+            MemberOutput::RequestJoin(to, request) => {
                 let request = self.sent(host, request);
                 self.ask_member(host, host_of(&to), request);
             }
@@ -322,20 +322,20 @@
                 let asker = self.machines.get_mut(&host).and_then(|m| m.asked.remove(&token));
                 match asker {
                     Some(asker) => {
-                        let answer = MemberInput::JoinAnswered(address(host), Some(response));
+                        let answer = MemberInput::JoinResponse(address(host), Some(response));
                         self.send(host, asker, answer);
                     }
                     None => drop(self.answers.insert(token, response)),
                 }
             }
-            MemberOutput::Tell(to, request) => {
+            MemberOutput::Notify(to, request) => {
                 let token = self.token();
                 let request = self.sent(host, request);
                 self.send(host, host_of(&to), MemberInput::Request(token, request));
             }
-            MemberOutput::Act(_) | MemberOutput::Weights(_) | MemberOutput::Rollout(_) => {}
-            MemberOutput::Note(event) => {
-                let is_chatter = matches!(event, MembershipEvent::JoinAnswered { .. });
+            MemberOutput::Perform(_) | MemberOutput::Weights(_) | MemberOutput::Rollout(_) => {}
+            MemberOutput::Membership(event) => {
+                let is_chatter = matches!(event, MembershipEvent::JoinResponse { .. });
                 if !is_chatter {
                     self.tell(host, event.to_string());
                 }
@@ -355,7 +355,7 @@
                 self.leader() == Some(to)
             };
         if !self.is_up(to) || is_cut {
-            let nobody = MemberInput::JoinAnswered(address(to), None);
+            let nobody = MemberInput::JoinResponse(address(to), None);
             let run = self.machines[&from].run;
             let at = self.now + GIVE_UP;
             self.deliver(Transfer { at, from, to: from, run, input: nobody });
@@ -466,7 +466,7 @@
                 replica.id(),
                 replica.role(),
                 replica.term(),
-                MembershipEvent::InForce {
+                MembershipEvent::Changed {
                     membership: replica.membership().clone(),
                     standing: replica.membership().standing(replica.id()),
                 },
--- a/crates/control/tests/crashes.rs
+++ b/crates/control/tests/crashes.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 use topazmount_control::{
-    CRASHES_TO_BLOCK, CrashLedger, CrashNote, CrashNotes, FleetRequest, FleetResponse, FleetView,
-    Request, Response, Seen, WatchRequest,
+    CRASHES_TO_BLOCK, CrashLedger, CrashRecord, CrashReport, FleetRequest, FleetResponse,
+    FleetView, Request, Response, SeenVersions, WatchRequest,
 };
 use topazmount_types::{ReplicaId, RequestDigest, Time};
 
@@ -23,16 +23,16 @@
 const GAP: Duration = Duration::from_millis(900);
 const MINUTE: Duration = Duration::from_secs(60);
 
-fn crash(request: RequestDigest, replica: u64) -> CrashNote {
-    CrashNote { request, replica: ReplicaId(replica), ran_for: RUN, age: Duration::ZERO }
+fn crash(request: RequestDigest, replica: u64) -> CrashRecord {
+    CrashRecord { request, replica: ReplicaId(replica), ran_for: RUN, age: Duration::ZERO }
 }
 
-fn crashes(notes: impl IntoIterator<Item = CrashNote>) -> CrashNotes {
-    CrashNotes { crashes: notes.into_iter().collect(), completed: Vec::new() }
+fn crashes(notes: impl IntoIterator<Item = CrashRecord>) -> CrashReport {
+    CrashReport { crashes: notes.into_iter().collect(), completed: Vec::new() }
 }
 
-fn completed(request: RequestDigest) -> CrashNotes {
-    CrashNotes { crashes: Vec::new(), completed: vec![request] }
+fn completed(request: RequestDigest) -> CrashReport {
+    CrashReport { crashes: Vec::new(), completed: vec![request] }
 }
 
 /// A ledger, and the moment at which it stands.
@@ -49,12 +49,12 @@
     /// A replica crashes under these, a while after the last one did.
     fn crash(&mut self, replica: u64, requests: &[RequestDigest]) {
         self.now = self.now + GAP;
-        self.ledger.note(self.now, &crashes(requests.iter().map(|one| crash(*one, replica))));
+        self.ledger.record(self.now, &crashes(requests.iter().map(|one| crash(*one, replica))));
     }
 
     fn pass(&mut self, time: Duration) {
         self.now = self.now + time;
-        self.ledger.forget(self.now);
+        self.ledger.expire(self.now);
     }
 
     fn is_blocked(&self, request: RequestDigest) -> bool {
@@ -70,7 +70,7 @@
             story.crash(replica, &[CAUSE]);
         }
         assert!(story.is_blocked(CAUSE));
-        assert_eq!(story.ledger.blocked()[0].evidence, GAP * 2);
+        assert_eq!(story.ledger.blocked()[0].crash_span, GAP * 2);
     }
 
     /// A gateway tells its notes again and again, and two may have seen the same crash.
@@ -80,13 +80,13 @@
             story.crash(replica, &[CAUSE]);
         }
         assert!(!story.is_blocked(CAUSE));
-        assert!(story.ledger.news(&crashes([crash(CAUSE, 0), crash(CAUSE, 1)])).is_empty());
+        assert!(story.ledger.new_in(&crashes([crash(CAUSE, 0), crash(CAUSE, 1)])).is_empty());
     }
 
     /// A request that many clients send alike is at several replicas when a zone loses power.
     crashes_at_one_moment_count_as_one => {
         let mut story = Story::new();
-        story.ledger.note(story.now, &crashes((0..5).map(|replica| crash(CAUSE, replica))));
+        story.ledger.record(story.now, &crashes((0..5).map(|replica| crash(CAUSE, replica))));
         assert!(!story.is_blocked(CAUSE));
     }
 
@@ -95,7 +95,7 @@
         let mut story = Story::new();
         for replica in 0..5 {
             story.now = story.now + Duration::from_millis(50);
-            story.ledger.note(story.now, &crashes([crash(CAUSE, replica)]));
+            story.ledger.record(story.now, &crashes([crash(CAUSE, replica)]));
         }
         assert!(!story.is_blocked(CAUSE));
     }
@@ -104,7 +104,7 @@
         let mut story = Story::new();
         story.crash(0, &[CAUSE]);
         story.crash(1, &[CAUSE]);
-        story.ledger.note(story.now, &completed(CAUSE));
+        story.ledger.record(story.now, &completed(CAUSE));
         story.crash(2, &[CAUSE]);
         // An earlier one is told again.
         story.crash(0, &[CAUSE]);
@@ -117,10 +117,10 @@
     a_blocked_request_that_ran_well_is_let_go => {
         let mut story = Story::new();
         (0..3).for_each(|replica| story.crash(replica, &[CAUSE]));
-        let changes = story.ledger.changes();
-        story.ledger.note(story.now, &completed(CAUSE));
+        let changes = story.ledger.blocked_revision();
+        story.ledger.record(story.now, &completed(CAUSE));
         assert!(!story.is_blocked(CAUSE));
-        assert!(story.ledger.changes() > changes);
+        assert!(story.ledger.blocked_revision() > changes);
     }
 
     /// The other one was there each time, but not the first.
@@ -141,7 +141,7 @@
         story.crash(1, &[CAUSE, OTHER]);
         story.crash(2, &[CAUSE, OTHER]);
         story.crash(3, &[OTHER]);
-        story.ledger.note(story.now, &crashes([crash(CAUSE, 3)]));
+        story.ledger.record(story.now, &crashes([crash(CAUSE, 3)]));
         assert!(story.is_blocked(CAUSE));
         assert!(!story.is_blocked(OTHER));
     }
@@ -180,9 +180,9 @@
     suspicions_are_forgotten => {
         let mut story = Story::new();
         story.crash(0, &[CAUSE, OTHER]);
-        assert_eq!(story.ledger.suspects(), 2);
+        assert_eq!(story.ledger.suspect_count(), 2);
         story.pass(MINUTE * 11);
-        assert_eq!(story.ledger.suspects(), 0);
+        assert_eq!(story.ledger.suspect_count(), 0);
     }
 
     memory_is_bounded_and_keeps_the_blocked => {
@@ -191,7 +191,7 @@
         for number in 0..1_400 {
             story.crash(100 + number, &[RequestDigest(100 + number)]);
         }
-        assert!(story.ledger.suspects() <= 1_024);
+        assert!(story.ledger.suspect_count() <= 1_024);
         assert!(story.is_blocked(CAUSE));
     }
 
@@ -210,10 +210,10 @@
         assert_eq!(blocked.len(), 256);
         let list = size(rmp_serde::to_vec(&blocked));
         let age = Duration::from_millis(29_999);
-        let note = CrashNote { age, ..crash(RequestDigest(u64::MAX), u64::MAX) };
+        let note = CrashRecord { age, ..crash(RequestDigest(u64::MAX), u64::MAX) };
         let told = size(rmp_serde::to_vec(&crashes([note; 64])));
         let all = (0..8_800).map(|number| crash(RequestDigest(number / 8), u64::MAX - number));
-        story.ledger.note(story.now, &crashes(all));
+        story.ledger.record(story.now, &crashes(all));
         let kept = size(rmp_serde::to_vec(&story.ledger));
         assert!(list <= 4_500 && told <= 2_200 && kept <= 300_000, "{list}, {told}, {kept}");
     }
@@ -248,10 +248,10 @@
             story.crash(replica as u64, &requests);
             if twice {
                 let notes = crashes(requests.iter().map(|one| crash(*one, replica as u64)));
-                story.ledger.note(story.now, &notes);
+                story.ledger.record(story.now, &notes);
             }
             for one in others.intersection(&well) {
-                story.ledger.note(story.now, &completed(RequestDigest(*one)));
+                story.ledger.record(story.now, &completed(RequestDigest(*one)));
             }
         }
         prop_assert!(story.is_blocked(CAUSE));
@@ -268,10 +268,10 @@
 /// Time within which a group that was killed leads again.
 const RECOVERY: Duration = Duration::from_secs(6);
 
-fn watch(world: &mut World, host: Host, notes: CrashNotes) -> Option<FleetView> {
+fn watch(world: &mut World, host: Host, notes: CrashReport) -> Option<FleetView> {
     let request = WatchRequest {
         gateway: None,
-        seen: Seen::default(),
+        seen: SeenVersions::default(),
         wants_gateways: false,
         wait: Duration::ZERO,
         crashes: notes,
@@ -291,7 +291,7 @@
 }
 
 fn is_blocked_at(world: &mut World, host: Host) -> bool {
-    let view = watch(world, host, CrashNotes::default());
+    let view = watch(world, host, CrashReport::default());
     let (_, blocked) = view.and_then(|view| view.blocked).unwrap_or_default();
     blocked.iter().any(|one| one.request == CAUSE)
 }
--- a/crates/control/tests/fleet_member.rs
+++ b/crates/control/tests/fleet_member.rs
@@ -5,7 +5,7 @@
 use fleet_world::{HEARTBEAT, LEASE, Manner, SPREAD, STEP, World, instance};
 use std::time::Duration;
 use topazmount_control::{
-    Availability, FleetRequest, FleetResponse, InstanceReport, Response, Seen,
+    Availability, FleetRequest, FleetResponse, InstanceReport, Response, SeenVersions,
 };
 use topazmount_types::Instance;
 
@@ -78,7 +78,7 @@
     world.run_for(Duration::from_secs(12));
     let orders = world.orders.iter().filter(|(_, order)| order.instance == "fenced").count();
     assert_eq!(orders, 1);
-    assert_eq!(world.status("fenced").availability, Availability::Barred);
+    assert_eq!(world.status("fenced").availability, Availability::Excluded);
     assert!(["r00", "r01"].iter().all(|id| world.replicas[*id].version == 2));
 }
 
@@ -93,8 +93,8 @@
     while world.now < named_at + SPREAD - Duration::from_millis(1_400) {
         world.run_for(STEP);
     }
-    assert_eq!(world.status("stubborn").availability, Availability::Barred);
-    assert_eq!(world.status("r00").availability, Availability::Open);
+    assert_eq!(world.status("stubborn").availability, Availability::Excluded);
+    assert_eq!(world.status("r00").availability, Availability::Available);
 }
 
 /// From the first hunt: gateways were told of a replica that came back without what it holds, and
@@ -110,14 +110,14 @@
     world.name(2);
     world.run_for(Duration::from_secs(9));
     assert!(!world.member.state().fleet.instances().contains_key("r01"), "it was silent");
-    let seen = Seen { revision: world.view().revision, ..Seen::default() };
+    let seen = SeenVersions { revision: world.view().revision, ..SeenVersions::default() };
     world.replicas.get_mut("r01").unwrap().is_silent = false;
     world.heartbeat("r01");
     let revision = world.member.state().fleet.revision();
     assert!(revision > seen.revision, "it is registered");
     let status = world.status("r01");
     assert_eq!(status.models[0].version, 1);
-    assert_eq!(status.availability, Availability::Barred);
+    assert_eq!(status.availability, Availability::Excluded);
     // Ticks in between forget nothing.
     world.run_for(HEARTBEAT / 2);
     assert_eq!(world.status("r01").models.len(), 1);
@@ -128,8 +128,11 @@
     let mut world = World::new(1);
     world.run_for(Duration::from_secs(4));
     let view = world.view();
-    let seen =
-        Seen { revision: view.revision, statuses: view.statuses.unwrap().0, ..Seen::default() };
+    let seen = SeenVersions {
+        revision: view.revision,
+        statuses: view.statuses.unwrap().0,
+        ..SeenVersions::default()
+    };
     let token = world.watch(seen, Duration::from_millis(400));
     world.run_for(Duration::from_millis(300));
     assert!(!world.responses.contains_key(&token), "there is no news yet");
@@ -152,7 +155,7 @@
     world.run_for(Duration::from_secs(4));
     let life = |id: &str| {
         let instance = Instance { address: "one:1".to_owned(), ..instance(id) };
-        FleetRequest::Heartbeat(InstanceReport { instance, models: Vec::new(), count: 0 })
+        FleetRequest::Heartbeat(InstanceReport { instance, models: Vec::new(), sequence: 0 })
     };
     assert_eq!(world.ask(life("old")), Response::Fleet(FleetResponse::Done));
     world.run_for(Duration::from_secs(6));
@@ -173,7 +176,7 @@
     let mut world = World::new(1);
     world.run_for(Duration::from_secs(4));
     let draining = Instance { is_draining: true, ..instance("r00") };
-    let report = InstanceReport { instance: draining, models: Vec::new(), count: 0 };
+    let report = InstanceReport { instance: draining, models: Vec::new(), sequence: 0 };
     let answer = world.ask(FleetRequest::Heartbeat(report));
     assert_eq!(answer, Response::Fleet(FleetResponse::Done));
     assert!(world.member.state().fleet.instances()["r00"].is_draining);
@@ -220,12 +223,12 @@
     while world.now < started_at + SPREAD - Duration::from_secs(2) {
         world.run_for(STEP);
         let statuses = world.view().statuses.map(|(_, statuses)| statuses).unwrap_or_default();
-        assert!(statuses.iter().all(|one| one.availability != Availability::Barred));
+        assert!(statuses.iter().all(|one| one.availability != Availability::Excluded));
     }
     while world.now < started_at + SPREAD {
         world.run_for(STEP);
     }
     for id in ["r00", "r01", "r02"] {
-        assert_eq!(world.status(id).availability, Availability::Barred, "{id}");
+        assert_eq!(world.status(id).availability, Availability::Excluded, "{id}");
     }
 }
--- a/crates/control/tests/fleet_state.rs
+++ b/crates/control/tests/fleet_state.rs
@@ -1,6 +1,8 @@
 //! Replicated state of the fleet: versions only rise, and who left stays away.
 
-use topazmount_control::{Document, FleetCommand, FleetState, ForeignCause, Registration};
+use topazmount_control::{
+    Document, FleetCommand, FleetState, RegistrationConflict, RegistrationStatus,
+};
 use topazmount_types::{Instance, Start};
 
 fn instance(id: &str, address: &str) -> Instance {
@@ -39,7 +41,7 @@
 fn versions_of_weights_only_rise() {
     let mut state = FleetState::default();
     for version in [2, 4, 3] {
-        state.apply(FleetCommand::NameWeights { model: "m".to_owned(), version });
+        state.apply(FleetCommand::PublishWeights { model: "m".to_owned(), version });
     }
     assert_eq!(state.weights()["m"], 4);
 }
@@ -51,7 +53,7 @@
     let draining = Instance { is_draining: true, ..instance("a", "1:1") };
     state.apply(FleetCommand::Register(draining));
     // A heartbeat from before arrives late.
-    assert!(!state.is_news(&instance("a", "1:1")));
+    assert!(!state.would_register(&instance("a", "1:1")));
     register(&mut state, "a", "1:1");
     assert!(state.instances()["a"].is_draining);
 }
@@ -257,8 +259,8 @@
         Said::Draining(start) => {
             FleetCommand::Register(Instance { is_draining: true, ..of(start) })
         }
-        Said::Left(start) => FleetCommand::Leave("r".to_owned(), Start(start)),
-        Said::Silent(start) => FleetCommand::FallSilent("r".to_owned(), Start(start)),
+        Said::Left(start) => FleetCommand::DeregisterIncarnation("r".to_owned(), Start(start)),
+        Said::Silent(start) => FleetCommand::ExpireIncarnation("r".to_owned(), Start(start)),
         Said::LeftUnnamed => FleetCommand::Depart("r".to_owned()),
         Said::Undeclared(start) => {
             FleetCommand::Register(Instance { service: "nobody".to_owned(), ..of(start) })
@@ -330,13 +332,13 @@
     let mut state = declared(&["pool"]);
     register(&mut state, "r", "1:1");
     let other = Instance { service: "nobody".to_owned(), ..instance("x", "1:1") };
-    let cause = ForeignCause::UndeclaredService;
-    assert_eq!(state.judge(&other), Registration::Foreign(cause));
+    let cause = RegistrationConflict::UndeclaredService;
+    assert_eq!(state.registration_status(&other), RegistrationStatus::Conflict(cause));
     state.apply(FleetCommand::Register(other.clone()));
     assert_eq!(ids(&state), ["r"]);
     // Once the replica is gone, its address is free.
     state.apply(FleetCommand::Expire("r".to_owned()));
-    assert_eq!(state.judge(&other), Registration::News);
+    assert_eq!(state.registration_status(&other), RegistrationStatus::New);
 }
 
 /// Replicas may be heard of before the document that declares their service.
@@ -345,7 +347,7 @@
     let mut state = declared(&["pool"]);
     let early = Instance { service: "next".to_owned(), ..instance("n", "2:2") };
     state.apply(FleetCommand::Register(early.clone()));
-    assert_eq!(state.judge(&early), Registration::Known);
+    assert_eq!(state.registration_status(&early), RegistrationStatus::Unchanged);
 }
 
 /// A replica starts, crashes before its first heartbeat arrives, and its successor registers at the same address. Then the first heartbeat
@@ -358,12 +360,12 @@
     let started = |id: &str, start: u64| Instance { start: Start(start), ..instance(id, "1:1") };
     state.apply(FleetCommand::Register(started("successor", 2_000)));
     let late = started("crashed", 1_000);
-    assert_eq!(state.judge(&late), Registration::Superseded);
+    assert_eq!(state.registration_status(&late), RegistrationStatus::Superseded);
     state.apply(FleetCommand::Register(late.clone()));
     assert_eq!(ids(&state), ["successor"]);
     // Elsewhere it is a replica like any other, and so is one that started later.
     let elsewhere = Instance { address: "2:2".to_owned(), ..late };
-    assert_eq!(state.judge(&elsewhere), Registration::News);
+    assert_eq!(state.registration_status(&elsewhere), RegistrationStatus::New);
     state.apply(FleetCommand::Register(started("next", 3_000)));
     assert_eq!(ids(&state), ["next"]);
     // Who says no start is told apart by nothing.
@@ -379,9 +381,9 @@
     let started = |id: &str, start: u64| Instance { start: Start(start), ..instance(id, "1:1") };
     state.apply(FleetCommand::Register(started("before", 2_000)));
     let newcomer = started("newcomer", 1_000);
-    assert_eq!(state.judge(&newcomer), Registration::Superseded);
-    state.apply(FleetCommand::FallSilent("before".to_owned(), Start(2_000)));
-    assert_eq!(state.judge(&newcomer), Registration::News);
+    assert_eq!(state.registration_status(&newcomer), RegistrationStatus::Superseded);
+    state.apply(FleetCommand::ExpireIncarnation("before".to_owned(), Start(2_000)));
+    assert_eq!(state.registration_status(&newcomer), RegistrationStatus::New);
     state.apply(FleetCommand::Register(newcomer));
     assert_eq!(ids(&state), ["newcomer"]);
 }
--- a/crates/control/tests/fleet_world/mod.rs
+++ b/crates/control/tests/fleet_world/mod.rs
@@ -7,10 +7,10 @@
 use topazmount_admission::Pushback;
 use topazmount_consensus::{Config, MemberInfo, MemoryDisk};
 use topazmount_control::{
-    CrashNotes, FleetAction, FleetRequest, FleetResponse, FleetView, Founding, InstanceReport,
-    InstanceStatus, LoadedModel, Member, MemberInput, MemberOutput, MemberSettings, OrderEnd,
-    OrderReport, ReplicaReport, Request, Response, RolloutEvent, RolloutSettings, Seen, Token,
-    WatchRequest, WeightsEvent, WeightsOrder,
+    ActionReport, CrashReport, FleetAction, FleetRequest, FleetResponse, FleetView, Founding,
+    InstanceReport, InstanceStatus, LoadedModel, Member, MemberInput, MemberOutput, MemberSettings,
+    OrderOutcome, ReplicaReport, Request, Response, RolloutEvent, RolloutSettings, SeenVersions,
+    Token, WatchRequest, WeightsEvent, WeightsOrder,
 };
 use topazmount_settings::SourceFiles;
 use topazmount_types::{Instance, Start, Time};
@@ -102,7 +102,7 @@
 impl World {
     pub fn new(replicas: usize) -> Self {
         let rollout =
-            RolloutSettings { lease: LEASE, spread: SPREAD, ..RolloutSettings::default() };
+            RolloutSettings { lease: LEASE, deadline: SPREAD, ..RolloutSettings::default() };
         World::with(replicas, rollout)
     }
 
@@ -196,11 +196,11 @@
                 MemberOutput::Respond(token, response) => {
                     self.responses.insert(token, response);
                 }
-                MemberOutput::Act(action) => self.act(action),
+                MemberOutput::Perform(action) => self.act(action),
                 MemberOutput::Send(..)
-                | MemberOutput::Tell(..)
-                | MemberOutput::Ask(..)
-                | MemberOutput::Note(_) => {}
+                | MemberOutput::Notify(..)
+                | MemberOutput::RequestJoin(..)
+                | MemberOutput::Membership(_) => {}
                 MemberOutput::Weights(event) => self.heard.push(event),
                 MemberOutput::Rollout(event) => self.plans.push((self.now, event)),
             }
@@ -213,17 +213,17 @@
     pub fn act(&mut self, action: FleetAction) {
         let (id, start) = match &action {
             FleetAction::Order(order) => (order.instance.clone(), order.start),
-            FleetAction::Question { instance, start, .. } => (instance.clone(), *start),
+            FleetAction::Query { instance, start, .. } => (instance.clone(), *start),
         };
         self.calls.push((self.now, id.clone()));
         if let Some(said) = self.unwilling.get(&id).copied() {
-            let pushback = OrderReport::Pushback(id.clone(), start, said);
-            self.send(FleetRequest::OrderEnded(pushback));
+            let pushback = ActionReport::Pushback(id.clone(), start, said);
+            self.send(FleetRequest::ActionEnded(pushback));
             let ended = match action {
-                FleetAction::Order(_) => OrderReport::Order(id, start, OrderEnd::Refused),
-                FleetAction::Question { .. } => OrderReport::Question(id, None),
+                FleetAction::Order(_) => ActionReport::Order(id, start, OrderOutcome::Refused),
+                FleetAction::Query { .. } => ActionReport::Query(id, None),
             };
-            self.send(FleetRequest::OrderEnded(ended));
+            self.send(FleetRequest::ActionEnded(ended));
             return;
         }
         let report = match action {
@@ -236,19 +236,19 @@
                 replica.load = alone * share;
                 let end = replica.take(self.now, order.clone());
                 replica.load = alone;
-                OrderReport::Order(order.instance, order.start, end)
+                ActionReport::Order(order.instance, order.start, end)
             }
-            FleetAction::Question { instance, .. } => {
+            FleetAction::Query { instance, .. } => {
                 let replica = &self.replicas[&instance];
                 let (version, is_busy, sequence) = replica.reported;
                 let models = vec![LoadedModel { model: replica.model.clone(), version }];
                 let report = ReplicaReport { models, is_busy, sequence, start: replica.start };
                 self.questions += 1;
                 let is_deaf = self.deaf.contains(&instance);
-                OrderReport::Question(instance, (!is_deaf).then_some(report))
+                ActionReport::Query(instance, (!is_deaf).then_some(report))
             }
         };
-        self.send(FleetRequest::OrderEnded(report));
+        self.send(FleetRequest::ActionEnded(report));
     }
 
     pub fn heartbeat(&mut self, id: &str) {
@@ -263,7 +263,7 @@
         let models = vec![LoadedModel { model: replica.model.clone(), version: replica.version }];
         let service = replica.service.clone();
         let instance = Instance { start: replica.start, service, ..instance(id) };
-        InstanceReport { instance, models, count: replica.count }
+        InstanceReport { instance, models, sequence: replica.count }
     }
 
     /// Adds a replica that says when it started.
@@ -312,20 +312,20 @@
     }
 
     pub fn name_for(&mut self, model: &str, version: u32) {
-        let request = FleetRequest::NameWeights { model: model.to_owned(), version };
+        let request = FleetRequest::PublishWeights { model: model.to_owned(), version };
         while self.ask(request.clone()) != Response::Fleet(FleetResponse::Done) {
             self.run_for(STEP);
         }
     }
 
-    pub fn watch(&mut self, seen: Seen, wait: Duration) -> Token {
-        let crashes = CrashNotes::default();
+    pub fn watch(&mut self, seen: SeenVersions, wait: Duration) -> Token {
+        let crashes = CrashReport::default();
         let request = WatchRequest { gateway: None, seen, wants_gateways: false, wait, crashes };
         self.send(FleetRequest::Watch(request))
     }
 
     pub fn view(&mut self) -> FleetView {
-        let token = self.watch(Seen::default(), Duration::ZERO);
+        let token = self.watch(SeenVersions::default(), Duration::ZERO);
         match self.responses.remove(&token) {
             Some(Response::Fleet(FleetResponse::View(view))) => *view,
             other => panic!("{other:?}"),
@@ -339,36 +339,36 @@
 }
 
 impl Replica {
-    pub fn take(&mut self, now: Time, order: WeightsOrder) -> OrderEnd {
+    pub fn take(&mut self, now: Time, order: WeightsOrder) -> OrderOutcome {
         match self.manner {
-            Manner::Refuses => OrderEnd::Refused,
-            Manner::Mute => OrderEnd::Unknown,
-            Manner::Conflicts => OrderEnd::Conflict,
+            Manner::Refuses => OrderOutcome::Refused,
+            Manner::Mute => OrderOutcome::Unknown,
+            Manner::Conflicts => OrderOutcome::Conflict,
             Manner::Hangs => {
                 let _ = self.carry_out(now, &order);
                 if let Some((_, at)) = &mut self.loading {
                     *at = now + Duration::from_secs(10_000);
                 }
-                OrderEnd::Accepted
+                OrderOutcome::Accepted
             }
-            Manner::Fences => OrderEnd::Fenced,
+            Manner::Fences => OrderOutcome::Fenced,
             Manner::LateOnce => {
                 self.manner = Manner::Obeys;
                 self.late = Some((order, now + Duration::from_secs(4)));
-                OrderEnd::Unknown
+                OrderOutcome::Unknown
             }
             Manner::Obeys => self.carry_out(now, &order),
         }
     }
 
-    pub fn carry_out(&mut self, now: Time, order: &WeightsOrder) -> OrderEnd {
+    pub fn carry_out(&mut self, now: Time, order: &WeightsOrder) -> OrderOutcome {
         if self.loading.is_some() || order.expected_sequence != self.sequence {
-            return OrderEnd::Conflict;
+            return OrderOutcome::Conflict;
         }
         self.sequence += 1;
         self.changed_at = now;
         self.loading = Some((order.version, now + self.load));
-        OrderEnd::Accepted
+        OrderOutcome::Accepted
     }
 
     pub fn advance(&mut self, now: Time) {
--- a/crates/control/tests/heartbeats.rs
+++ b/crates/control/tests/heartbeats.rs
@@ -26,7 +26,7 @@
     Request::Fleet(FleetRequest::Heartbeat(InstanceReport {
         instance,
         models: Vec::new(),
-        count: 0,
+        sequence: 0,
     }))
 }
 
--- a/crates/control/tests/incarnations.rs
+++ b/crates/control/tests/incarnations.rs
@@ -198,7 +198,7 @@
             let is_down = self.down.contains_key(&status.id);
             let is_believed = status.start == replica.start
                 && status.models.iter().any(|one| one.version == replica.version);
-            let is_open = status.availability != Availability::Barred;
+            let is_open = status.availability != Availability::Excluded;
             assert!(
                 is_down || !is_open || !is_believed || replica.version >= oldest,
                 "{} holds {} and is open; {oldest} was named over the bound ago, at {now}",
@@ -248,7 +248,7 @@
             let status = series.world.status(&id);
             let told = status.models.first().map(|one| one.version);
             assert_eq!(told, Some(newest), "seed {seed}: {id} is told of otherwise");
-            assert_eq!(status.availability, Availability::Open, "seed {seed}: {id}");
+            assert_eq!(status.availability, Availability::Available, "seed {seed}: {id}");
         }
     }
 }
--- a/crates/control/tests/late_schedule.rs
+++ b/crates/control/tests/late_schedule.rs
@@ -5,7 +5,8 @@
 use common::{Host, World};
 use std::time::Duration;
 use topazmount_control::{
-    Availability, CrashNotes, FleetRequest, FleetResponse, Request, Response, Seen, WatchRequest,
+    Availability, CrashReport, FleetRequest, FleetResponse, Request, Response, SeenVersions,
+    WatchRequest,
 };
 
 const MOMENT: Duration = Duration::from_millis(100);
@@ -39,7 +40,7 @@
     for host in hosts.into_iter().filter(|host| *host != late) {
         world.cut(late, host);
     }
-    let name = FleetRequest::NameWeights { model: "model".to_owned(), version: 2 };
+    let name = FleetRequest::PublishWeights { model: "model".to_owned(), version: 2 };
     assert_eq!(ask(&mut world, name), Some(FleetResponse::Done));
     let mut after = Duration::ZERO;
     let mut count = 1;
@@ -50,14 +51,14 @@
         heartbeat(&mut world, count);
         let watch = WatchRequest {
             gateway: None,
-            seen: Seen::default(),
+            seen: SeenVersions::default(),
             wants_gateways: false,
             wait: Duration::ZERO,
-            crashes: CrashNotes::default(),
+            crashes: CrashReport::default(),
         };
         if let Some(FleetResponse::View(view)) = ask(&mut world, FleetRequest::Watch(watch))
             && let Some((_, statuses)) = view.statuses
-            && statuses.first().map(|one| one.availability) == Some(Availability::Barred)
+            && statuses.first().map(|one| one.availability) == Some(Availability::Excluded)
         {
             println!(
                 "barred {after:?} after it was named; led by the late one: {}",
--- a/crates/control/tests/membership_soak.rs
+++ b/crates/control/tests/membership_soak.rs
@@ -210,7 +210,7 @@
             self.told()
         );
         let version = self.acknowledged + 1;
-        let request = FleetRequest::NameWeights { model: MODEL.to_owned(), version };
+        let request = FleetRequest::PublishWeights { model: MODEL.to_owned(), version };
         let Some(token) = self.world.ask(leader, Request::Fleet(request)) else { return false };
         self.world.run(Duration::from_millis(40));
         let is_done =
--- a/crates/control/tests/mixed_versions.rs
+++ b/crates/control/tests/mixed_versions.rs
@@ -10,8 +10,8 @@
 use common::{Host, World, first_build, heartbeat};
 use std::time::Duration;
 use topazmount_control::{
-    Command, CrashNotes, FleetCommand, FleetRequest, FleetResponse, FleetView, Level, LoadedModel,
-    Request, Response, Seen, TimedCommand, WatchRequest,
+    Command, CrashReport, FeatureLevel, FleetCommand, FleetRequest, FleetResponse, FleetView,
+    LoadedModel, Request, Response, SeenVersions, TimedCommand, WatchRequest,
 };
 use topazmount_types::{Instance, Start, Time};
 
@@ -31,7 +31,7 @@
 
 fn name(world: &mut World, version: u32) {
     world.until("a leader", SETTLING, |world| world.leader().is_some());
-    let request = FleetRequest::NameWeights { model: "model".to_owned(), version };
+    let request = FleetRequest::PublishWeights { model: "model".to_owned(), version };
     for _ in 0..40 {
         if ask(world, request.clone()) == Some(FleetResponse::Done) {
             return;
@@ -43,10 +43,10 @@
 fn view(world: &mut World) -> Box<FleetView> {
     let watch = WatchRequest {
         gateway: None,
-        seen: Seen::default(),
+        seen: SeenVersions::default(),
         wants_gateways: true,
         wait: Duration::ZERO,
-        crashes: CrashNotes::default(),
+        crashes: CrashReport::default(),
     };
     match ask(world, FleetRequest::Watch(watch)) {
         Some(FleetResponse::View(view)) => view,
@@ -170,8 +170,8 @@
     commands_without_names_of_fields_are_read => {
         let command = TimedCommand {
             at: Time::from_secs(5),
-            command: Command::Fleet(FleetCommand::NameWeights { model: "m".to_owned(), version: 4 }),
-            level: Level::FIRST,
+            command: Command::Fleet(FleetCommand::PublishWeights { model: "m".to_owned(), version: 4 }),
+            level: FeatureLevel::INITIAL,
         };
         for bytes in [rmp_serde::to_vec(&command), rmp_serde::to_vec_named(&command)] {
             assert_eq!(rmp_serde::from_slice::<TimedCommand>(&bytes.unwrap()).unwrap(), command);
--- a/crates/control/tests/recorded_bytes.rs
+++ b/crates/control/tests/recorded_bytes.rs
@@ -11,14 +11,14 @@
     ProposeError, Standing,
 };
 use topazmount_control::{
-    ActionResult, Availability, BeliefChange, BlockedRequest, ChangeReason, ChangeReply,
-    ChangeRequest, ClaimId, ClaimOutcome, Command, ConfigurationUpdate, ControlState, CrashNote,
-    CrashNotes, Document, FirstFormLink, FirstFrame, FleetAction, FleetCommand, FleetRequest,
-    FleetResponse, FleetView, ForeignCause, Frame, GatewayNews, GatewayReport, HistoryRow,
-    InstanceReport, InstanceStatus, JoinAnswer, Level, LoadMode, LoadedModel, LookupOutcome,
-    MemberStatus, MembershipEvent, NodeReport, OrderEnd, OrderReport, Plan, RemovedInstance,
-    ReplicaReport, Reply, Request, Response, RolloutEvent, Seen, TimedCommand, WatchRequest,
-    WeightsEvent, WeightsOrder, WordSource,
+    ActionReport, ActionResult, Availability, BlockedRequest, ChangeReason, ChangeReply,
+    ChangeRequest, ClaimId, ClaimOutcome, Command, ConfigurationUpdate, ControlState, CrashRecord,
+    CrashReport, Document, FeatureLevel, FleetAction, FleetCommand, FleetRequest, FleetResponse,
+    FleetView, Frame, GatewayListUpdate, GatewayReport, HistoryRow, IncomingLegacyFrame,
+    InstanceReport, InstanceStatus, JoinResponse, LegacyLink, LoadMode, LoadedModel, LookupOutcome,
+    MemberStatus, MembershipEvent, NodeReport, OrderOutcome, RecordChange, RegistrationConflict,
+    RemovedInstance, ReplicaReport, Reply, ReportSource, Request, Response, RolloutEvent,
+    RolloutPlan, SeenVersions, TimedCommand, WatchRequest, WeightsEvent, WeightsOrder,
 };
 use topazmount_settings::{FileDelta, SourceFiles};
 use topazmount_types::{
@@ -60,13 +60,13 @@
 
     /// Checks a frame as it is written for the first builds, and what the recorded bytes decode to.
     fn check_first(&mut self, name: &str, frame: &Frame, read: Option<Frame>) {
-        let mut link = FirstFormLink::default();
+        let mut link = LegacyLink::default();
         let written = link.outgoing(frame).map(|frame| rmp_serde::to_vec_named(&frame).unwrap());
         let column = self.columns(name)[0];
         assert_eq!(column, written.map_or("none".to_owned(), |bytes| to_hex(&bytes)), "{name}");
         if let Some(read) = read {
-            let decoded: FirstFrame = rmp_serde::from_slice(&from_hex(column)).unwrap();
-            assert_eq!(FirstFormLink::default().incoming(decoded), read, "{name}");
+            let decoded: IncomingLegacyFrame = rmp_serde::from_slice(&from_hex(column)).unwrap();
+            assert_eq!(LegacyLink::default().incoming(decoded), read, "{name}");
         }
     }
 
@@ -139,7 +139,7 @@
 }
 
 fn report() -> InstanceReport {
-    InstanceReport { instance: instance(1), models: models(), count: 9 }
+    InstanceReport { instance: instance(1), models: models(), sequence: 9 }
 }
 
 fn gateway(number: u64) -> GatewayReport {
@@ -155,8 +155,8 @@
     Document { version: 3, bytes: b"text".to_vec(), services: vec!["chat".to_owned()] }
 }
 
-fn crash_note(request: u64, replica: u64, age: u64) -> CrashNote {
-    CrashNote {
+fn crash_note(request: u64, replica: u64, age: u64) -> CrashRecord {
+    CrashRecord {
         request: RequestDigest(request),
         replica: ReplicaId(replica),
         ran_for: Duration::from_millis(40),
@@ -164,12 +164,12 @@
     }
 }
 
-fn crash_notes() -> CrashNotes {
-    CrashNotes { crashes: vec![crash_note(11, 21, 5)], completed: vec![RequestDigest(12)] }
+fn crash_notes() -> CrashReport {
+    CrashReport { crashes: vec![crash_note(11, 21, 5)], completed: vec![RequestDigest(12)] }
 }
 
-fn seen() -> Seen {
-    Seen { document: 1, revision: 2, statuses: (3, 4), gateways: (5, 6), blocked: 7 }
+fn seen() -> SeenVersions {
+    SeenVersions { document: 1, revision: 2, statuses: (3, 4), gateways: (5, 6), blocked: 7 }
 }
 
 fn watch(gateway: Option<GatewayReport>) -> WatchRequest {
@@ -192,8 +192,8 @@
     }
 }
 
-fn gateway_news(is_full: bool) -> GatewayNews {
-    GatewayNews {
+fn gateway_news(is_full: bool) -> GatewayListUpdate {
+    GatewayListUpdate {
         count: (5, 8),
         is_full,
         changed: vec![gateway(1), gateway(2)],
@@ -215,7 +215,7 @@
             was_announced: false,
             start: Start(1_003),
         }],
-        statuses: Some(((3, 9), vec![status(Availability::Open)])),
+        statuses: Some(((3, 9), vec![status(Availability::Available)])),
         gateways: Some(gateway_news(true)),
         gateway_count: 2,
         blocked: Some((1, vec![blocked()])),
@@ -226,14 +226,14 @@
 }
 
 fn blocked() -> BlockedRequest {
-    BlockedRequest { request: RequestDigest(11), evidence: Duration::from_millis(120) }
+    BlockedRequest { request: RequestDigest(11), crash_span: Duration::from_millis(120) }
 }
 
 /// What the first builds tell of the same view.
 fn first_view() -> FleetView {
     let removed =
         RemovedInstance { id: "r3".to_owned(), was_announced: true, start: Start::UNSAID };
-    let gateways = GatewayNews::full((5, 8), vec![gateway(1), gateway(2)]);
+    let gateways = GatewayListUpdate::full((5, 8), vec![gateway(1), gateway(2)]);
     FleetView {
         removed: vec![removed],
         gateways: Some(gateways),
@@ -281,39 +281,39 @@
     ReplicaReport { models: models(), is_busy: true, sequence: 6, start: Start(1_001) }
 }
 
-fn order_reports() -> Vec<(&'static str, OrderReport)> {
-    let order = |end| OrderReport::Order("r1".to_owned(), Start(1_001), end);
+fn order_reports() -> Vec<(&'static str, ActionReport)> {
+    let order = |end| ActionReport::Order("r1".to_owned(), Start(1_001), end);
     let pushback = Pushback {
         rest: Some(Duration::from_millis(300)),
         is_leaving: true,
         ..Pushback::default()
     };
     vec![
-        ("accepted", order(OrderEnd::Accepted)),
-        ("holds", order(OrderEnd::Holds)),
-        ("conflict", order(OrderEnd::Conflict)),
-        ("fenced", order(OrderEnd::Fenced)),
-        ("refused", order(OrderEnd::Refused)),
-        ("unknown", order(OrderEnd::Unknown)),
-        ("report", OrderReport::Question("r1".to_owned(), Some(replica_report()))),
-        ("no_report", OrderReport::Question("r1".to_owned(), None)),
-        ("pushback", OrderReport::Pushback("r1".to_owned(), Start(1_001), pushback)),
+        ("accepted", order(OrderOutcome::Accepted)),
+        ("holds", order(OrderOutcome::AlreadyLoaded)),
+        ("conflict", order(OrderOutcome::Conflict)),
+        ("fenced", order(OrderOutcome::Fenced)),
+        ("refused", order(OrderOutcome::Refused)),
+        ("unknown", order(OrderOutcome::Unknown)),
+        ("report", ActionReport::Query("r1".to_owned(), Some(replica_report()))),
+        ("no_report", ActionReport::Query("r1".to_owned(), None)),
+        ("pushback", ActionReport::Pushback("r1".to_owned(), Start(1_001), pushback)),
     ]
 }
 
 fn fleet_requests() -> Vec<(String, FleetRequest)> {
     let mut requests = vec![
         ("heartbeat", FleetRequest::Heartbeat(report())),
-        ("heartbeats_heard", FleetRequest::HeartbeatsHeard(vec![report()])),
+        ("heartbeats_heard", FleetRequest::ForwardedHeartbeats(vec![report()])),
         ("depart", FleetRequest::Depart("r1".to_owned(), Start(1_001))),
         ("put_document", FleetRequest::PutDocument(document())),
         ("read_document", FleetRequest::ReadDocument),
-        ("name_weights", FleetRequest::NameWeights { model: "m".to_owned(), version: 8 }),
+        ("name_weights", FleetRequest::PublishWeights { model: "m".to_owned(), version: 8 }),
         ("watch", FleetRequest::Watch(watch(Some(gateway(1))))),
         ("watch_of_a_client", FleetRequest::Watch(watch(None))),
     ];
     requests.extend(
-        order_reports().into_iter().map(|(name, report)| (name, FleetRequest::OrderEnded(report))),
+        order_reports().into_iter().map(|(name, report)| (name, FleetRequest::ActionEnded(report))),
     );
     requests.into_iter().map(|(name, request)| (format!("fleet_{name}"), request)).collect()
 }
@@ -348,7 +348,7 @@
         name: "n".to_owned(),
         zone: "a".to_owned(),
         revision: Revision(1),
-        heard_at: Time(70),
+        received_at: Time(70),
     };
     MemberStatus {
         id: MemberId(1),
@@ -363,7 +363,7 @@
         now: Time(90),
         standing,
         standing_for: Duration::from_secs(4),
-        answering: vec![MemberId(1)],
+        responding: vec![MemberId(1)],
     }
 }
 
@@ -388,17 +388,17 @@
     claims.into_iter().chain(others).collect()
 }
 
-fn join_answers() -> Vec<(&'static str, JoinAnswer)> {
+fn join_answers() -> Vec<(&'static str, JoinResponse)> {
     let elsewhere =
-        JoinAnswer::AskElsewhere { leader: Some(info()), members: vec!["10.0.0.2:70".to_owned()] };
+        JoinResponse::Redirect { leader: Some(info()), members: vec!["10.0.0.2:70".to_owned()] };
     vec![
-        ("proposed", JoinAnswer::Proposed),
-        ("replaces_learner", JoinAnswer::ReplacesLearner),
-        ("busy", JoinAnswer::Busy),
-        ("learner", JoinAnswer::Learner),
-        ("voter", JoinAnswer::Voter),
+        ("proposed", JoinResponse::Proposed),
+        ("replaces_learner", JoinResponse::ReplacesLearner),
+        ("busy", JoinResponse::Busy),
+        ("learner", JoinResponse::Learner),
+        ("voter", JoinResponse::Voter),
         ("elsewhere", elsewhere),
-        ("elsewhere_unknown", JoinAnswer::AskElsewhere { leader: None, members: Vec::new() }),
+        ("elsewhere_unknown", JoinResponse::Redirect { leader: None, members: Vec::new() }),
     ]
 }
 
@@ -409,7 +409,8 @@
     let row = HistoryRow { revision: Revision(2), at: Time(80), files: vec!["f".to_owned()] };
     let refusal = Refusal::new(ErrorKind::InvalidRequest, "bad");
     let status_of = |standing| Response::Status(Box::new(member_status(standing)));
-    let statuses = [Availability::Open, Availability::Paused, Availability::Barred].map(status);
+    let statuses =
+        [Availability::Available, Availability::Paused, Availability::Excluded].map(status);
     let delta_view = FleetView {
         is_full: false,
         statuses: Some(((3, 9), statuses.to_vec())),
@@ -440,9 +441,9 @@
         ("fleet_superseded", fleet(FleetResponse::Superseded)),
         (
             "fleet_foreign_undeclared",
-            fleet(FleetResponse::Foreign(ForeignCause::UndeclaredService)),
+            fleet(FleetResponse::Conflict(RegistrationConflict::UndeclaredService)),
         ),
-        ("fleet_foreign_other", fleet(FleetResponse::Foreign(ForeignCause::OtherPlace))),
+        ("fleet_foreign_other", fleet(FleetResponse::Conflict(RegistrationConflict::MovedAddress))),
         ("fleet_document", fleet(FleetResponse::Document(Some(document())))),
         ("fleet_no_document", fleet(FleetResponse::Document(None))),
         ("fleet_view_empty", fleet(FleetResponse::View(Box::default()))),
@@ -465,12 +466,12 @@
         ("register", FleetCommand::Register(instance(1))),
         ("depart", FleetCommand::Depart("r1".to_owned())),
         ("expire", FleetCommand::Expire("r1".to_owned())),
-        ("leave", FleetCommand::Leave("r1".to_owned(), Start(1_001))),
-        ("fall_silent", FleetCommand::FallSilent("r1".to_owned(), Start(1_001))),
-        ("name_weights", FleetCommand::NameWeights { model: model(), version }),
+        ("leave", FleetCommand::DeregisterIncarnation("r1".to_owned(), Start(1_001))),
+        ("fall_silent", FleetCommand::ExpireIncarnation("r1".to_owned(), Start(1_001))),
+        ("name_weights", FleetCommand::PublishWeights { model: model(), version }),
         ("retire_weights", FleetCommand::RetireWeights { model: model(), version }),
-        ("note_crashes", FleetCommand::NoteCrashes { at: Time(100), notes: crash_notes() }),
-        ("forget_crashes", FleetCommand::ForgetCrashes { at: Time(100) }),
+        ("note_crashes", FleetCommand::RecordCrashes { at: Time(100), report: crash_notes() }),
+        ("forget_crashes", FleetCommand::ExpireCrashes { at: Time(100) }),
     ]
 }
 
@@ -496,7 +497,11 @@
 fn state() -> ControlState {
     let mut state = ControlState::founding(source());
     let mut apply = |at: u64, command: Command| {
-        state.apply(TimedCommand { at: Time::from_millis(at), command, level: Level::INCARNATIONS })
+        state.apply(TimedCommand {
+            at: Time::from_millis(at),
+            command,
+            level: FeatureLevel::INCARNATIONS,
+        })
     };
     let within = Duration::from_secs(2);
     let digest = Digest(61);
@@ -518,9 +523,9 @@
     for number in 1..=4 {
         change(FleetCommand::Register(instance(number)));
     }
-    change(FleetCommand::Leave("r3".to_owned(), Start(1_003)));
-    change(FleetCommand::FallSilent("r4".to_owned(), Start(1_004)));
-    change(FleetCommand::NameWeights { model: "m".to_owned(), version: 8 });
+    change(FleetCommand::DeregisterIncarnation("r3".to_owned(), Start(1_003)));
+    change(FleetCommand::ExpireIncarnation("r4".to_owned(), Start(1_004)));
+    change(FleetCommand::PublishWeights { model: "m".to_owned(), version: 8 });
     change(FleetCommand::RetireWeights { model: "m".to_owned(), version: 7 });
     let crashes = vec![
         crash_note(11, 21, 900),
@@ -530,10 +535,10 @@
         crash_note(13, 24, 200),
     ];
     let at = Time::from_millis(5_000);
-    let notes = CrashNotes { crashes, completed: Vec::new() };
-    change(FleetCommand::NoteCrashes { at, notes });
-    let notes = CrashNotes { crashes: Vec::new(), completed: vec![RequestDigest(13)] };
-    change(FleetCommand::NoteCrashes { at, notes });
+    let notes = CrashReport { crashes, completed: Vec::new() };
+    change(FleetCommand::RecordCrashes { at, report: notes });
+    let notes = CrashReport { crashes: Vec::new(), completed: vec![RequestDigest(13)] };
+    change(FleetCommand::RecordCrashes { at, report: notes });
     assert!(state.fleet.crashes().is_blocked(RequestDigest(11)));
     state
 }
@@ -542,7 +547,7 @@
 fn frames_keep_their_bytes() {
     let mut recorded = Recorded::read();
     recorded.check("frame_peer", Frame::Peer("10.0.0.1:70".to_owned(), envelope()));
-    recorded.check("frame_heard", Frame::Heard);
+    recorded.check("frame_heard", Frame::Ack);
     for (name, request) in requests() {
         recorded.check(&format!("frame_request_{name}"), Frame::Request(7, request));
     }
@@ -556,13 +561,15 @@
 fn frames_for_the_first_builds_keep_their_bytes() {
     let mut recorded = Recorded::read();
     let peer = Frame::Peer("10.0.0.1:70".to_owned(), envelope());
-    for (name, frame) in [("first_peer", peer), ("first_heard", Frame::Heard)] {
+    for (name, frame) in [("first_peer", peer), ("first_heard", Frame::Ack)] {
         recorded.check_first(name, &frame, Some(frame.clone()));
     }
     for (name, request) in requests() {
         let frame = Frame::Request(7, request.clone());
         let read = match request {
-            Request::Fleet(FleetRequest::HeartbeatsHeard(_) | FleetRequest::OrderEnded(_)) => None,
+            Request::Fleet(FleetRequest::ForwardedHeartbeats(_) | FleetRequest::ActionEnded(_)) => {
+                None
+            }
             Request::Fleet(FleetRequest::Depart(id, _)) => {
                 Some(Request::Fleet(FleetRequest::Depart(id, Start::UNSAID)))
             }
@@ -578,13 +585,14 @@
     for (name, response) in responses() {
         let frame = Frame::Response(7, response.clone());
         let read = match (name.as_str(), response) {
-            (_, Response::Fleet(FleetResponse::Foreign(_))) => {
+            (_, Response::Fleet(FleetResponse::Conflict(_))) => {
                 Response::Fleet(FleetResponse::Superseded)
             }
             ("fleet_view_full", _) => Response::Fleet(FleetResponse::View(Box::new(first_view()))),
             ("fleet_view_delta", _) => {
                 let statuses =
-                    [Availability::Open, Availability::Paused, Availability::Barred].map(status);
+                    [Availability::Available, Availability::Paused, Availability::Excluded]
+                        .map(status);
                 Response::Fleet(FleetResponse::View(Box::new(FleetView {
                     is_full: false,
                     statuses: Some(((3, 9), statuses.to_vec())),
@@ -603,7 +611,7 @@
 fn commands_keep_their_bytes() {
     let mut recorded = Recorded::read();
     for (name, command) in commands() {
-        let timed = TimedCommand { at: Time(100), command, level: Level::INCARNATIONS };
+        let timed = TimedCommand { at: Time(100), command, level: FeatureLevel::INCARNATIONS };
         recorded.check(&format!("command_{name}"), timed);
     }
     recorded.all_are_checked("command_");
@@ -622,7 +630,7 @@
     let mut recorded = Recorded::read();
     recorded.check("action_keep_runs", FleetAction::Order(order(LoadMode::KeepRuns)));
     recorded.check("action_finish_runs", FleetAction::Order(order(LoadMode::FinishRuns)));
-    let question = FleetAction::Question {
+    let question = FleetAction::Query {
         instance: "r1".to_owned(),
         start: Start(1_001),
         address: "10.0.1.1:80".to_owned(),
@@ -633,14 +641,14 @@
 
 fn membership_events() -> Vec<MembershipEvent> {
     let reasons = [
-        ChangeReason::Asked,
+        ChangeReason::JoinRequested,
         ChangeReason::LearnerReplaced,
         ChangeReason::CaughtUp,
         ChangeReason::VoterReplaced,
-        ChangeReason::Succeeded,
-        ChangeReason::Surplus,
-        ChangeReason::LearnerGone,
-        ChangeReason::Complete,
+        ChangeReason::SuccessorReady,
+        ChangeReason::SurplusVoter,
+        ChangeReason::LearnerTimedOut,
+        ChangeReason::AllVotersResponding,
     ];
     let changes = [
         MembershipChange::AddLearner(MemberId(2), info()),
@@ -655,31 +663,31 @@
         Some(ProposeError::ChangePending),
         Some(ProposeError::BadChange),
     ];
-    let mut events = vec![MembershipEvent::LevelRaised(Level::INCARNATIONS)];
+    let mut events = vec![MembershipEvent::LevelRaised(FeatureLevel::INCARNATIONS)];
     for standing in [Standing::Outside, Standing::Learner, Standing::Voter] {
-        events.push(MembershipEvent::InForce { membership: membership(), standing });
+        events.push(MembershipEvent::Changed { membership: membership(), standing });
     }
     let empty = Membership::default();
-    events.push(MembershipEvent::InForce { membership: empty, standing: Standing::Outside });
+    events.push(MembershipEvent::Changed { membership: empty, standing: Standing::Outside });
     for (_, answer) in join_answers() {
         let (id, info) = (MemberId(2), info());
-        events.push(MembershipEvent::JoinAsked { id, info, answer: answer.clone() });
+        events.push(MembershipEvent::JoinRequested { id, info, response: answer.clone() });
         let member = "10.0.0.1:70".to_owned();
-        events.push(MembershipEvent::JoinAnswered { member, answer: Some(answer) });
+        events.push(MembershipEvent::JoinResponse { member, response: Some(answer) });
     }
-    events.push(MembershipEvent::JoinAnswered { member: "10.0.0.1:70".to_owned(), answer: None });
+    events.push(MembershipEvent::JoinResponse { member: "10.0.0.1:70".to_owned(), response: None });
     let change = &changes[0];
     for reason in reasons {
         let change = change.clone();
-        events.push(MembershipEvent::Proposed { change, reason, hindrance: None });
+        events.push(MembershipEvent::ChangeProposed { change, reason, error: None });
     }
     for change in changes {
         let reason = ChangeReason::CaughtUp;
-        events.push(MembershipEvent::Proposed { change, reason, hindrance: None });
+        events.push(MembershipEvent::ChangeProposed { change, reason, error: None });
     }
     for hindrance in hindrances {
-        let (change, reason) = (MembershipChange::Settle, ChangeReason::Complete);
-        events.push(MembershipEvent::Proposed { change, reason, hindrance });
+        let (change, reason) = (MembershipChange::Settle, ChangeReason::AllVotersResponding);
+        events.push(MembershipEvent::ChangeProposed { change, reason, error: hindrance });
     }
     events
 }
@@ -691,32 +699,32 @@
         recorded.check_text(&format!("text_membership_{number}"), &event);
         recorded.check_text(&format!("text_membership_name_{number}"), event.name());
     }
-    let sources = [WordSource::Heartbeat, WordSource::Report, WordSource::Order];
-    let changes = [BeliefChange::Taken, BeliefChange::TakenBack, BeliefChange::Kept];
+    let sources = [ReportSource::Heartbeat, ReportSource::Query, ReportSource::Order];
+    let changes = [RecordChange::Updated, RecordChange::Reverted, RecordChange::Kept];
     for (number, (source, change)) in sources.into_iter().zip(changes).enumerate() {
         let event = WeightsEvent {
             instance: "r1".to_owned(),
             start: Start(1_001 * number as u64),
-            count: 9,
+            sequence: 9,
             source,
             model: "m".to_owned(),
             before: (number > 0).then_some(6),
-            said: 7,
+            reported: 7,
             change,
         };
         recorded.check_text(&format!("text_weights_{number}"), event);
     }
-    let plan = Plan {
-        width: 2,
-        ahead: 1,
+    let plan = RolloutPlan {
+        concurrency: 2,
+        paused_ahead: 1,
         pause: Duration::from_millis(600),
-        load: Duration::from_millis(1_500),
+        load_time: Duration::from_millis(1_500),
         late: 3,
-        most_away: 4,
+        max_unavailable: 4,
     };
-    let event = RolloutEvent { service: "chat".to_owned(), plan, left: 5 };
+    let event = RolloutEvent { service: "chat".to_owned(), plan, remaining: 5 };
     recorded.check_text("text_rollout", event);
-    for cause in [ForeignCause::UndeclaredService, ForeignCause::OtherPlace] {
+    for cause in [RegistrationConflict::UndeclaredService, RegistrationConflict::MovedAddress] {
         recorded.check_text(&format!("text_{}", cause.name()), cause.name());
     }
     for (name, request) in requests() {
@@ -725,6 +733,6 @@
     for (name, response) in responses() {
         recorded.check_text(&format!("text_kind_response_{name}"), response.kind());
     }
-    recorded.check_text("text_kind_heard", Frame::Heard.kind());
+    recorded.check_text("text_kind_heard", Frame::Ack.kind());
     recorded.all_are_checked("text_");
 }
--- a/crates/control/tests/restarted_replicas.rs
+++ b/crates/control/tests/restarted_replicas.rs
@@ -5,7 +5,8 @@
 use fleet_world::{HEARTBEAT, LEASE, MODEL, Manner, SPREAD, STEP, World};
 use std::time::Duration;
 use topazmount_control::{
-    Availability, BeliefChange, FleetRequest, InstanceStatus, OrderEnd, OrderReport, WordSource,
+    ActionReport, Availability, FleetRequest, InstanceStatus, OrderOutcome, RecordChange,
+    ReportSource,
 };
 use topazmount_types::Start;
 
@@ -47,7 +48,7 @@
     for id in restarted {
         let status = world.status(id);
         assert_eq!(status.models[0].version, 1, "{id} said so");
-        assert_eq!(status.availability, Availability::Barred, "{id}: its weights are too old");
+        assert_eq!(status.availability, Availability::Excluded, "{id}: its weights are too old");
     }
     world.run_for(SPREAD);
     let versions: Vec<u32> = restarted.iter().map(|id| world.replicas[*id].version).collect();
@@ -73,7 +74,7 @@
     let now = world.now;
     let replica = world.replicas.get_mut("r05").unwrap();
     assert_eq!((replica.version, replica.sequence), (4, 1), "one order in this life");
-    assert_eq!(replica.carry_out(now, &order), OrderEnd::Accepted, "its count fits");
+    assert_eq!(replica.carry_out(now, &order), OrderOutcome::Accepted, "its count fits");
     world.run_for(Duration::from_secs(1));
     assert_eq!(world.replicas["r05"].version, 3);
     world.run_for(SPREAD);
@@ -81,10 +82,10 @@
     let status = world.status("r05");
     assert_eq!((status.models[0].version, status.start), (4, Start(SECOND)));
     assert!(status.correction.1 > 0, "gateways take back what they believed");
-    let taken_back = world.heard.iter().find(|event| event.change == BeliefChange::TakenBack);
+    let taken_back = world.heard.iter().find(|event| event.change == RecordChange::Reverted);
     let event = taken_back.expect("a line tells of it");
-    assert_eq!((event.before, event.said, event.start), (Some(4), 3, Start(SECOND)));
-    assert_eq!(event.source, WordSource::Report);
+    assert_eq!((event.before, event.reported, event.start), (Some(4), 3, Start(SECOND)));
+    assert_eq!(event.source, ReportSource::Query);
 }
 
 /// The end of an order to the earlier incarnation comes in when the next one has an order to come.
@@ -94,9 +95,9 @@
     world.replicas.get_mut("r07").unwrap().manner = Manner::Refuses;
     world.restart("r07", SECOND, 1);
     world.run_for(HEARTBEAT);
-    for end in [OrderEnd::Holds, OrderEnd::Fenced, OrderEnd::Accepted] {
-        let report = OrderReport::Order("r07".to_owned(), Start(FIRST + 7), end);
-        world.send(FleetRequest::OrderEnded(report));
+    for end in [OrderOutcome::AlreadyLoaded, OrderOutcome::Fenced, OrderOutcome::Accepted] {
+        let report = ActionReport::Order("r07".to_owned(), Start(FIRST + 7), end);
+        world.send(FleetRequest::ActionEnded(report));
         world.run_for(Duration::from_millis(100));
         assert_eq!(world.status("r07").models[0].version, 1, "{end:?}");
     }
@@ -168,10 +169,10 @@
     world.run_for(HEARTBEAT * 2);
     let status = world.status("late");
     assert_eq!(status.models[0].version, 1);
-    assert_eq!(status.availability, Availability::Barred);
+    assert_eq!(status.availability, Availability::Excluded);
     world.run_for(SPREAD);
     assert_eq!(world.replicas["late"].version, 2);
-    assert_eq!(world.status("late").availability, Availability::Open);
+    assert_eq!(world.status("late").availability, Availability::Available);
 }
 
 /// Half of the replicas leave their orders unanswered and hold version 1 when the bound of version 2 is over; then all members
@@ -198,7 +199,7 @@
         assert_eq!(oldest.map(|one| one.version), Some(2));
         let (_, statuses) = view.statuses.unwrap();
         let is_open = |one: &&InstanceStatus| {
-            one.availability != Availability::Barred
+            one.availability != Availability::Excluded
                 && one.models.iter().any(|held| held.version < 2)
         };
         assert_eq!(statuses.iter().filter(is_open).count(), 0);
--- a/crates/control/tests/starts.rs
+++ b/crates/control/tests/starts.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use topazmount_control::{
     FleetRequest, FleetResponse, FleetView, GatewayReport, InstanceReport, LoadedModel, Request,
-    Response, Seen, Token, WatchRequest,
+    Response, SeenVersions, Token, WatchRequest,
 };
 use topazmount_types::{Instance, Start};
 
@@ -34,7 +34,7 @@
 #[derive(Default)]
 struct Gateway {
     number: usize,
-    seen: Seen,
+    seen: SeenVersions,
     token: Option<Token>,
     replicas: BTreeSet<String>,
     /// Replicas that it knew of when it heard what is believed of them.
@@ -88,7 +88,7 @@
         start: Start::UNSAID,
     };
     let models = vec![LoadedModel { model: "dense".to_owned(), version: 1 }];
-    InstanceReport { instance, models, count: 0 }
+    InstanceReport { instance, models, sequence: 0 }
 }
 
 /// All gateways ask at once; of `lost_of` answers one is lost.
--- a/crates/control/tests/suspension.rs
+++ b/crates/control/tests/suspension.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use topazmount_control::{
-    Document, FleetRequest, FleetResponse, Request, Response, Seen, Token, WatchRequest,
+    Document, FleetRequest, FleetResponse, Request, Response, SeenVersions, Token, WatchRequest,
 };
 use topazmount_types::Time;
 
@@ -115,7 +115,7 @@
     fn check_news(&mut self, host: Host) {
         let watch = WatchRequest {
             gateway: None,
-            seen: Seen::default(),
+            seen: SeenVersions::default(),
             wants_gateways: false,
             wait: Duration::ZERO,
             crashes: Default::default(),
@@ -230,7 +230,7 @@
         story.take(Step::Read(leader));
         story.take(Step::Pass(500));
         prop_assert!(story.broken.is_empty(), "{:?}", story.broken);
-        let version = story.world.member(leader).unwrap().state().fleet.version();
+        let version = story.world.member(leader).unwrap().state().fleet.document_version();
         prop_assert!(version >= story.acknowledged, "a change is lost");
     }
 }
--- a/crates/control/tests/unruly_replicas.rs
+++ b/crates/control/tests/unruly_replicas.rs
@@ -6,8 +6,8 @@
 use fleet_world::{MODEL, Manner, SPREAD, STEP, World};
 use std::time::Duration;
 use topazmount_control::{
-    Document, FleetCommand, FleetRequest, FleetResponse, FleetState, InstanceReport, LoadedModel,
-    OrderReport, Registration, ReplicaReport, Response,
+    ActionReport, Document, FleetCommand, FleetRequest, FleetResponse, FleetState, InstanceReport,
+    LoadedModel, RegistrationStatus, ReplicaReport, Response,
 };
 use topazmount_types::{Instance, Start};
 
@@ -80,7 +80,7 @@
     world.run_for(Duration::from_secs(10));
     let report =
         ReplicaReport { models: loaded(1), is_busy: false, sequence: 0, start: Start(LATER) };
-    world.send(FleetRequest::OrderEnded(OrderReport::Question("r03".to_owned(), Some(report))));
+    world.send(FleetRequest::ActionEnded(ActionReport::Query("r03".to_owned(), Some(report))));
     world.run_for(Duration::from_secs(3));
     world.name(2);
     world.run_for(SPREAD * 3);
@@ -159,7 +159,7 @@
     state.apply(FleetCommand::Register(instance(LATER, "x:1")));
     let other = Instance { id: "b".to_owned(), ..instance(LATER, "x:1") };
     state.apply(FleetCommand::Register(other));
-    assert_eq!(state.judge(&instance(EARLIER, "y:1")), Registration::News);
+    assert_eq!(state.registration_status(&instance(EARLIER, "y:1")), RegistrationStatus::New);
 }
 
 /// Another writer's departure that names a start in the far future.
@@ -167,10 +167,10 @@
 fn a_departure_by_another_writer_does_not_end_an_identifier_for_good() {
     let mut state = FleetState::default();
     state.apply(FleetCommand::Register(instance(EARLIER, "x:1")));
-    state.apply(FleetCommand::Leave("a".to_owned(), Start(u64::MAX)));
+    state.apply(FleetCommand::DeregisterIncarnation("a".to_owned(), Start(u64::MAX)));
     assert!(
         state.instances().contains_key("a")
-            || state.judge(&instance(LATER, "x:1")) == Registration::News
+            || state.registration_status(&instance(LATER, "x:1")) == RegistrationStatus::New
     );
 }
 
@@ -317,13 +317,17 @@
     let services = vec!["pool".to_owned()];
     state.apply(FleetCommand::PutDocument(Document { version: 1, bytes: vec![1], services }));
     state.apply(FleetCommand::Register(instance(EARLIER, "x:1")));
-    state.apply(FleetCommand::FallSilent("a".to_owned(), Start(EARLIER)));
-    assert_eq!(state.judge(&instance(EARLIER, "x:1")), Registration::News, "control");
+    state.apply(FleetCommand::ExpireIncarnation("a".to_owned(), Start(EARLIER)));
+    assert_eq!(
+        state.registration_status(&instance(EARLIER, "x:1")),
+        RegistrationStatus::New,
+        "control"
+    );
     let foreign = Instance {
         id: "z".to_owned(),
         service: "undeclared".to_owned(),
         ..instance(EARLIER, "x:1")
     };
     state.apply(FleetCommand::Register(foreign));
-    assert_eq!(state.judge(&instance(EARLIER, "x:1")), Registration::News);
+    assert_eq!(state.registration_status(&instance(EARLIER, "x:1")), RegistrationStatus::New);
 }
--- a/crates/control/tests/watchers.rs
+++ b/crates/control/tests/watchers.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 use topazmount_control::{
-    FleetRequest, FleetResponse, FleetView, GatewayReport, InstanceReport, Request, Response, Seen,
-    Token, WatchRequest,
+    FleetRequest, FleetResponse, FleetView, GatewayReport, InstanceReport, Request, Response,
+    SeenVersions, Token, WatchRequest,
 };
 use topazmount_types::{Instance, Start};
 
@@ -24,7 +24,7 @@
 /// A gateway that asks for news again and again.
 struct Gateway {
     report: GatewayReport,
-    seen: Seen,
+    seen: SeenVersions,
     token: Option<Token>,
     /// Gateways that it knows.
     gateways: BTreeSet<String>,
@@ -84,7 +84,7 @@
             region: "great-lakes".to_owned(),
             is_ready: true,
         },
-        seen: Seen::default(),
+        seen: SeenVersions::default(),
         token: None,
         gateways: Default::default(),
         replicas: Default::default(),
@@ -102,7 +102,7 @@
         changed_at: 0,
         start: Start::UNSAID,
     };
-    InstanceReport { instance, models: Vec::new(), count: 0 }
+    InstanceReport { instance, models: Vec::new(), sequence: 0 }
 }
 
 impl Gateway {
--- a/crates/control/tests/weights_schedule.rs
+++ b/crates/control/tests/weights_schedule.rs
@@ -5,7 +5,8 @@
 use common::{Host, World};
 use std::time::Duration;
 use topazmount_control::{
-    Availability, CrashNotes, FleetRequest, FleetResponse, Request, Response, Seen, WatchRequest,
+    Availability, CrashReport, FleetRequest, FleetResponse, Request, Response, SeenVersions,
+    WatchRequest,
 };
 
 const HOSTS: [Host; 3] = [1, 2, 3];
@@ -51,10 +52,10 @@
     fn availability(&mut self) -> Option<Availability> {
         let watch = WatchRequest {
             gateway: None,
-            seen: Seen::default(),
+            seen: SeenVersions::default(),
             wants_gateways: false,
             wait: Duration::ZERO,
-            crashes: CrashNotes::default(),
+            crashes: CrashReport::default(),
         };
         let Some(FleetResponse::View(view)) = self.ask(FleetRequest::Watch(watch)) else {
             return None;
@@ -65,7 +66,7 @@
 
     /// Time after the naming of version 2 at which the replica is told of as barred, with heartbeats all the while.
     fn barred_after(&mut self, change_leader: impl Fn(&mut World), at: Duration) -> Duration {
-        let name = FleetRequest::NameWeights { model: "model".to_owned(), version: 2 };
+        let name = FleetRequest::PublishWeights { model: "model".to_owned(), version: 2 };
         assert_eq!(self.ask(name), Some(FleetResponse::Done));
         let mut after = Duration::ZERO;
         let mut has_changed = false;
@@ -75,7 +76,7 @@
                 has_changed = true;
             }
             self.heartbeat();
-            if self.availability() == Some(Availability::Barred) {
+            if self.availability() == Some(Availability::Excluded) {
                 return after;
             }
             after += MOMENT * 2;
--- a/crates/gateway/src/balancer/progress.rs
+++ b/crates/gateway/src/balancer/progress.rs
@@ -92,7 +92,7 @@
     /// incarnation is not judged by the next one's weights.
     pub fn is_barred(&self, choice: &Choice) -> bool {
         let replica = self.chosen(choice);
-        replica.is_some_and(|replica| replica.availability == Availability::Barred)
+        replica.is_some_and(|replica| replica.availability == Availability::Excluded)
     }
 
     /// Whether a replica sent anything after a moment.
--- a/crates/gateway/src/balancer/replica.rs
+++ b/crates/gateway/src/balancer/replica.rs
@@ -72,7 +72,7 @@
             slot,
             in_flight: 0,
             pending_prefill: 0,
-            availability: Availability::Open,
+            availability: Availability::Available,
             models: Vec::new(),
             correction: (0, 0),
             went_back_until: Time::ZERO,
@@ -157,7 +157,7 @@
     /// Whether it may be sent a request, as far as anybody but the request's own failures says.
     pub(super) fn may_take(&self, request: &ChoiceRequest<'_>) -> bool {
         !self.instance.is_draining
-            && self.availability != Availability::Barred
+            && self.availability != Availability::Excluded
             && !request.exclude.contains(&self.name)
             && request.held_to.is_none_or(|name| *name == self.name)
     }
@@ -170,7 +170,7 @@
     /// Whether others may take parts of prompts from it. One that is about to load still holds what
     /// it read; once it loads, taking from it fails quickly.
     pub(super) fn may_give(&self) -> bool {
-        self.availability != Availability::Barred
+        self.availability != Availability::Excluded
     }
 
     /// What its cache belongs to: this incarnation, with these weights.
--- a/crates/gateway/src/balancer/unled.rs
+++ b/crates/gateway/src/balancer/unled.rs
@@ -40,6 +40,6 @@
     pub(super) fn is_over(&self, model: &str, version: u32, now: Time) -> bool {
         let named = self.named.get(model).into_iter().flatten();
         let newer_at = named.filter(|(one, _)| *one > version).map(|(_, at)| *at).min();
-        newer_at.is_some_and(|at| now >= at.max(self.led_at) + self.cfg.bar_after())
+        newer_at.is_some_and(|at| now >= at.max(self.led_at) + self.cfg.exclude_after())
     }
 }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
-use topazmount_control::{BlockedRequest, CrashLedger, CrashNote, CrashNotes};
+use topazmount_control::{BlockedRequest, CrashLedger, CrashRecord, CrashReport};
 use topazmount_types::{ReplicaId, RequestDigest, Time};
 
 /// How long what was seen is told again. Control may have no leader for an election, and a gateway may be cut off
@@ -66,7 +66,7 @@
     /// What this gateway saw itself.
     own: CrashLedger,
     suspected: VecDeque<Suspicion>,
-    seen: VecDeque<(Time, CrashNote)>,
+    seen: VecDeque<(Time, CrashRecord)>,
     cleared: VecDeque<(Time, RequestDigest)>,
     completed: Completed,
 }
@@ -139,10 +139,10 @@
         at: Time,
     ) {
         let replica = ReplicaId::from_name(incarnation);
-        let note = CrashNote { request, replica, ran_for, age: Duration::ZERO };
+        let note = CrashRecord { request, replica, ran_for, age: Duration::ZERO };
         self.cleared.retain(|(_, cleared)| *cleared != request);
         self.seen.push_back((at, note));
-        self.own.note(at, &CrashNotes { crashes: vec![note], completed: Vec::new() });
+        self.own.record(at, &CrashReport { crashes: vec![note], completed: Vec::new() });
     }
 
     /// Notes that a request ran to its end. Returns whether control should hear of it at once.
@@ -158,16 +158,16 @@
     fn clear(&mut self, request: RequestDigest, now: Time) {
         self.seen.retain(|(_, note)| note.request != request);
         self.cleared.push_back((now, request));
-        self.own.note(now, &CrashNotes { crashes: Vec::new(), completed: vec![request] });
+        self.own.record(now, &CrashReport { crashes: Vec::new(), completed: vec![request] });
     }
 
     /// What control should hear.
-    pub fn notes(&mut self, now: Time) -> CrashNotes {
-        self.own.forget(now);
+    pub fn notes(&mut self, now: Time) -> CrashReport {
+        self.own.expire(now);
         trim(&mut self.seen, now);
         trim(&mut self.cleared, now);
-        let aged = |(at, note): &(Time, CrashNote)| CrashNote { age: now.since(*at), ..*note };
-        CrashNotes {
+        let aged = |(at, note): &(Time, CrashRecord)| CrashRecord { age: now.since(*at), ..*note };
+        CrashReport {
             crashes: self.seen.iter().map(aged).collect(),
             completed: self.cleared.iter().map(|(_, request)| *request).collect(),
         }
@@ -184,7 +184,7 @@
         let added: Vec<RequestDigest> = next.difference(&self.blocked).copied().collect();
         let gone = self.blocked.difference(&next).copied().collect();
         for one in blocked.iter().filter(|one| added.contains(&one.request)) {
-            let first = now - one.evidence;
+            let first = now - one.crash_span;
             if self.completed.at.get(&one.request).is_some_and(|at| *at > first) {
                 self.clear(one.request, now);
             }
--- a/crates/gateway/src/knowledge.rs
+++ b/crates/gateway/src/knowledge.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use topazmount_admission::PushbackSettings;
-use topazmount_control::{FleetView, RolloutSettings, Seen};
+use topazmount_control::{FleetView, RolloutSettings, SeenVersions};
 use topazmount_routing::PolicyTable;
 use topazmount_types::{ErrorKind, RequestDigest, Time};
 
@@ -85,7 +85,7 @@
 pub struct Knowledge {
     settings: GatewaySettings,
     catalog: Option<Arc<Catalog>>,
-    seen: Seen,
+    seen: SeenVersions,
     /// Whether it has heard only of a part of the replicas that a member knows.
     is_behind: bool,
     confirmed_until: Time,
@@ -115,7 +115,7 @@
         let mut knowledge = Knowledge {
             settings,
             catalog: None,
-            seen: Seen::default(),
+            seen: SeenVersions::default(),
             is_behind: false,
             confirmed_until: Time::ZERO,
             unconfirmed_since: None,
@@ -153,7 +153,7 @@
     }
 
     /// What it has seen, for the next request for news.
-    pub fn seen(&self) -> Seen {
+    pub fn seen(&self) -> SeenVersions {
         self.seen
     }
 
--- a/crates/gateway/src/knowledge/placement.rs
+++ b/crates/gateway/src/knowledge/placement.rs
@@ -6,7 +6,7 @@
 use crate::shards::{Gateways, Shard};
 use crate::stores::MOST_READERS;
 use std::net::SocketAddr;
-use topazmount_control::GatewayNews;
+use topazmount_control::GatewayListUpdate;
 use topazmount_types::Time;
 
 impl Knowledge {
@@ -41,7 +41,7 @@
         self.quotas.set_own(own);
     }
 
-    pub(super) fn set_gateways(&mut self, news: &GatewayNews, now: Time) {
+    pub(super) fn set_gateways(&mut self, news: &GatewayListUpdate, now: Time) {
         if news.is_full {
             self.named.clear();
         }
--- a/crates/gateway/src/quota/authority.rs
+++ b/crates/gateway/src/quota/authority.rs
@@ -5,14 +5,14 @@
 //! leader. Whoever becomes the first must have asked for an answer, in which it still is the first, after whoever was it
 //! before could not grant any more without having asked the leader too, and so being in that list:
 //!
-//! - The first one was dropped from the list: the leader had not heard from it for [`GATEWAY_SILENCE`], and the rest of
+//! - The first one was dropped from the list: the leader had not heard from it for [`GATEWAY_TIMEOUT`], and the rest of
 //!   [`LEASE`] ends its lease.
 //! - Else, and where the leader is new and may not have heard from the first one yet: a whole [`LEASE`].
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 use topazmount_consensus::Term;
-use topazmount_control::GATEWAY_SILENCE;
+use topazmount_control::GATEWAY_TIMEOUT;
 use topazmount_routing::rendezvous_weight;
 use topazmount_types::{ReplicaId, Time};
 
@@ -21,7 +21,7 @@
 pub(super) const LEASE: Duration = Duration::from_secs(3);
 /// What is left of the lease of a gateway when the leader drops it.
 const REST_OF_LEASE: Duration =
-    Duration::from_millis(LEASE.as_millis() as u64 - GATEWAY_SILENCE.as_millis() as u64);
+    Duration::from_millis(LEASE.as_millis() as u64 - GATEWAY_TIMEOUT.as_millis() as u64);
 /// Time for which a gateway is remembered that is no longer named: a bucket that rested for as long is full.
 const MEMORY: Duration = Duration::from_secs(60);
 
--- a/crates/gateway/tests/balancer.rs
+++ b/crates/gateway/tests/balancer.rs
@@ -29,7 +29,7 @@
     for number in 0..count {
         let id = format!("replica-{number}");
         balancer.upsert(instance(&id, "pool", "north"));
-        balancer.set_status(&status(&id, Availability::Open, 1));
+        balancer.set_status(&status(&id, Availability::Available, 1));
     }
     balancer
 }
@@ -74,7 +74,7 @@
     for number in 0..12 {
         let id = format!("replica-{number}");
         if id != other.instance.id {
-            balancer.set_status(&status(&id, Availability::Open, 2));
+            balancer.set_status(&status(&id, Availability::Available, 2));
         }
     }
     let exclude: Vec<String> = (0..12)
@@ -93,15 +93,15 @@
     for _ in 0..20 {
         assert_eq!(choose_for(&mut balancer, &prompt, &[]).unwrap().instance.id, "replica-1");
     }
-    balancer.set_status(&status("replica-1", Availability::Barred, 1));
+    balancer.set_status(&status("replica-1", Availability::Excluded, 1));
     assert_eq!(choose_for(&mut balancer, &prompt, &[]).unwrap().instance.id, "replica-0");
     let waiting = choose_for(&mut balancer, &prompt, &[]).unwrap();
     assert!(!balancer.is_barred(&waiting));
-    balancer.set_status(&status("replica-0", Availability::Barred, 1));
+    balancer.set_status(&status("replica-0", Availability::Excluded, 1));
     assert!(choose_for(&mut balancer, &prompt, &[]).is_none());
     // What waits there is taken back.
     assert!(balancer.is_barred(&waiting));
-    balancer.set_status(&status("replica-0", Availability::Open, 2));
+    balancer.set_status(&status("replica-0", Availability::Available, 2));
     assert!(!balancer.is_barred(&waiting));
 }
 
@@ -123,7 +123,7 @@
 fn prompts_that_nobody_holds_begin_on_the_newest_weights() {
     for subject in 0..50 {
         let mut balancer = pool(12, subject);
-        balancer.set_status(&status("replica-7", Availability::Open, 2));
+        balancer.set_status(&status("replica-7", Availability::Available, 2));
         let prompt = prompt(&[(subject, 100), (1_000 + subject, 10)]);
         assert_eq!(choose_for(&mut balancer, &prompt, &[]).unwrap().version, Some(2));
     }
@@ -182,8 +182,8 @@
     assert!(balancer.has_choice(&request(&prompt), NOW));
     let decided: u64 = policies.report().map(|(_, counters)| counters.decided).sum();
     assert_eq!(decided, 1);
-    balancer.set_status(&status("replica-0", Availability::Barred, 1));
-    balancer.set_status(&status("replica-1", Availability::Barred, 1));
+    balancer.set_status(&status("replica-0", Availability::Excluded, 1));
+    balancer.set_status(&status("replica-1", Availability::Excluded, 1));
     assert!(!balancer.has_choice(&request(&prompt), NOW));
 }
 
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -13,7 +13,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 fn blocked(evidence: Duration) -> Vec<BlockedRequest> {
-    vec![BlockedRequest { request: REQUEST, evidence }]
+    vec![BlockedRequest { request: REQUEST, crash_span: evidence }]
 }
 
 fn after(seconds: u32) -> Time {
--- a/crates/gateway/tests/incarnation_series.rs
+++ b/crates/gateway/tests/incarnation_series.rs
@@ -101,7 +101,7 @@
         let version = self.rng.random_range(1..6);
         let correction = (self.rng.random_range(0..3), self.rng.random_range(0..3));
         let is_barred = self.rng.random_range(0..4) == 0;
-        let availability = if is_barred { Availability::Barred } else { Availability::Open };
+        let availability = if is_barred { Availability::Excluded } else { Availability::Available };
         let models = vec![LoadedModel { model: "model".to_owned(), version }];
         let id_text = id.to_owned();
         self.balancer.set_status(&InstanceStatus {
--- a/crates/gateway/tests/incarnations.rs
+++ b/crates/gateway/tests/incarnations.rs
@@ -27,7 +27,7 @@
 }
 
 fn status(id: &str, start: Start, version: u32) -> InstanceStatus {
-    let (availability, correction) = (Availability::Open, (0, 0));
+    let (availability, correction) = (Availability::Available, (0, 0));
     InstanceStatus { id: id.to_owned(), availability, models: loaded(version), start, correction }
 }
 
@@ -136,7 +136,7 @@
         balancer.set_status(&status("i-0", FIRST, 9));
     };
     a_late_status_that_bars => |balancer, _| {
-        let availability = Availability::Barred;
+        let availability = Availability::Excluded;
         balancer.set_status(&InstanceStatus { availability, ..status("i-0", FIRST, 2) });
     };
     a_late_status_with_a_correction => |balancer, _| {
@@ -172,7 +172,7 @@
 fn a_bar_on_the_next_incarnation_takes_back_nothing_from_the_one_before() {
     let (mut balancer, old) = replaced();
     let next = choose(&mut balancer, &old.prompt, &[incarnation_name("i-1", FIRST)]).unwrap();
-    let availability = Availability::Barred;
+    let availability = Availability::Excluded;
     balancer.set_status(&InstanceStatus { availability, ..status("i-0", NEXT, 2) });
     assert!(balancer.is_barred(&next) && !balancer.is_barred(&old.choice));
     assert!(balancer.has_ended(&old.choice) && !balancer.has_ended(&next));
--- a/crates/gateway/tests/late_bars.rs
+++ b/crates/gateway/tests/late_bars.rs
@@ -21,7 +21,7 @@
     balancer.upsert(instance("i-0", "pool", "north"));
     let status = InstanceStatus {
         id: "i-0".to_owned(),
-        availability: Availability::Open,
+        availability: Availability::Available,
         models: loaded(1),
         start: Start::UNSAID,
         correction: (0, 0),
--- a/crates/gateway/tests/overload.rs
+++ b/crates/gateway/tests/overload.rs
@@ -107,7 +107,7 @@
     let ids: Vec<String> = (0..ENGINES).map(|number| format!("engine-{number}")).collect();
     let status = |id: &String| InstanceStatus {
         id: id.clone(),
-        availability: Availability::Open,
+        availability: Availability::Available,
         models: vec![LoadedModel { model: "model".to_owned(), version: 1 }],
         start: Start::UNSAID,
         correction: (0, 0),
--- a/crates/gateway/tests/quota_world/mod.rs
+++ b/crates/gateway/tests/quota_world/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
-use topazmount_control::{FleetView, GATEWAY_SILENCE, GatewayNews, GatewayReport};
+use topazmount_control::{FleetView, GATEWAY_TIMEOUT, GatewayListUpdate, GatewayReport};
 use topazmount_gateway::{
     Catalog, CatalogParts, GatewaySettings, GrantAnswer, Granting, Knowledge, LimitUnit,
     QuotaSettings, STRIPES, StripeId, Tenant, TenantLimit,
@@ -122,7 +122,7 @@
         let now = self.now;
         if let Some(leader) = &mut self.leader {
             let before = leader.heard.len();
-            leader.heard.retain(|_, heard| now < *heard + GATEWAY_SILENCE);
+            leader.heard.retain(|_, heard| now < *heard + GATEWAY_TIMEOUT);
             leader.count += u64::from(before != leader.heard.len());
         }
         for number in 0..self.gateways.len() {
@@ -145,7 +145,7 @@
             let seen = gateway.knowledge.seen();
             let gateways = (seen.gateways != (leader.term, leader.count)).then(|| {
                 let reports = leader.heard.keys().map(|number| report(*number)).collect();
-                GatewayNews::full((leader.term, leader.count), reports)
+                GatewayListUpdate::full((leader.term, leader.count), reports)
             });
             let view = FleetView {
                 staleness: Some(Duration::ZERO),
--- a/crates/gateway/tests/refused_versions.rs
+++ b/crates/gateway/tests/refused_versions.rs
@@ -21,7 +21,7 @@
 fn status(id: &str, version: u32) -> InstanceStatus {
     InstanceStatus {
         id: id.to_owned(),
-        availability: Availability::Open,
+        availability: Availability::Available,
         models: loaded(version),
         start: Start::UNSAID,
         correction: (0, 0),
--- a/crates/gateway/tests/shards.rs
+++ b/crates/gateway/tests/shards.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use topazmount_admission::Pushback;
 use topazmount_control::{
-    Availability, FleetView, GatewayNews, GatewayReport, InstanceStatus, LoadedModel,
+    Availability, FleetView, GatewayListUpdate, GatewayReport, InstanceStatus, LoadedModel,
 };
 use topazmount_gateway::{
     Catalog, CatalogParts, Choice, ChoiceQuestion, ChoiceRequest, GatewaySettings, Gateways,
@@ -45,7 +45,7 @@
     let model = || vec![LoadedModel { model: "model".to_owned(), version: 1 }];
     let status = |id: &String| InstanceStatus {
         id: id.clone(),
-        availability: Availability::Open,
+        availability: Availability::Available,
         models: model(),
         start: Start::UNSAID,
         correction: (0, 0),
@@ -55,7 +55,7 @@
         is_full: true,
         instances: ids.iter().map(|id| instance(id, "pool", "north")).collect(),
         statuses: Some(((Default::default(), 1), ids.iter().map(status).collect())),
-        gateways: Some(GatewayNews::full((0, 1), (0..gateways).map(report).collect())),
+        gateways: Some(GatewayListUpdate::full((0, 1), (0..gateways).map(report).collect())),
         gateway_count: gateways as u32,
         staleness: Some(Duration::ZERO),
         ..FleetView::default()
--- a/crates/gateway/tests/stores.rs
+++ b/crates/gateway/tests/stores.rs
@@ -152,7 +152,7 @@
         let models = vec![LoadedModel { model: "model".to_owned(), version: 1 }];
         balancer.set_status(&InstanceStatus {
             id,
-            availability: Availability::Open,
+            availability: Availability::Available,
             models,
             start: Start::UNSAID,
             correction: (0, 0),
--- a/crates/gateway/tests/unled_bars.rs
+++ b/crates/gateway/tests/unled_bars.rs
@@ -44,7 +44,7 @@
             let version = rng.random_range(1..=2);
             let status = InstanceStatus {
                 id,
-                availability: Availability::Open,
+                availability: Availability::Available,
                 models: loaded(version),
                 start: Start::UNSAID,
                 correction: (0, 0),
--- a/crates/lab/src/scale/control.rs
+++ b/crates/lab/src/scale/control.rs
@@ -94,10 +94,10 @@
     fn take(&mut self, from: usize, output: MemberOutput) {
         match output {
             MemberOutput::Respond(token, response) => self.answers.push((token, response)),
-            MemberOutput::Act(_)
-            | MemberOutput::Tell(..)
-            | MemberOutput::Ask(..)
-            | MemberOutput::Note(_)
+            MemberOutput::Perform(_)
+            | MemberOutput::Notify(..)
+            | MemberOutput::RequestJoin(..)
+            | MemberOutput::Membership(_)
             | MemberOutput::Weights(_)
             | MemberOutput::Rollout(_) => {}
             MemberOutput::Send(address, envelope) => {
--- a/crates/lab/src/sim/members.rs
+++ b/crates/lab/src/sim/members.rs
@@ -171,7 +171,7 @@
             }
             Packet::Reply(_, response) => {
                 let Place::Member(from) = transfer.from else { return };
-                MemberInput::JoinAnswered(address(from).to_string(), Some((**response).clone()))
+                MemberInput::JoinResponse(address(from).to_string(), Some((**response).clone()))
             }
             _ => return,
         };
@@ -213,14 +213,14 @@
                 let packet = Packet::Peer(address(number).to_string(), Box::new(envelope));
                 self.send_later(delay, place, Place::Member(target), None, packet);
             }
-            MemberOutput::Act(_) | MemberOutput::Tell(..) => {}
-            MemberOutput::Ask(to, request) => {
+            MemberOutput::Perform(_) | MemberOutput::Notify(..) => {}
+            MemberOutput::RequestJoin(to, request) => {
                 let Some(target) = member_at(&to, self.members.len()) else { return };
                 self.totals.control_messages += 1;
                 let packet = Packet::Control(0, Box::new(request));
                 self.send_later(delay, place, Place::Member(target), None, packet);
             }
-            MemberOutput::Note(event) => self.trace(|| format!("member {number}: {event}")),
+            MemberOutput::Membership(event) => self.trace(|| format!("member {number}: {event}")),
             MemberOutput::Weights(event) => self.trace(|| format!("member {number}: {event}")),
             MemberOutput::Rollout(event) => self.trace(|| format!("member {number}: {event}")),
             MemberOutput::Respond(token, response) => {
--- a/crates/topazmount/src/control_links.rs
+++ b/crates/topazmount/src/control_links.rs
@@ -243,14 +243,14 @@
         let input = match frame {
             Frame::Peer(address, envelope) => {
                 // Where the queue is full there are other answers to hear.
-                let _ = answers.try_send(Frame::Heard);
+                let _ = answers.try_send(Frame::Ack);
                 MemberInput::Peer(address, envelope)
             }
             Frame::Request(number, request) => {
                 let requester = Requester::Connection { answers: answers.clone(), number };
                 MemberInput::Request(shared.add(requester), request)
             }
-            Frame::Response(..) | Frame::Heard => {
+            Frame::Response(..) | Frame::Ack => {
                 return eyre::eyre!("an answer to nothing that was asked");
             }
         };
--- a/crates/topazmount/src/control_log.rs
+++ b/crates/topazmount/src/control_log.rs
@@ -5,7 +5,7 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 use topazmount_consensus::{Disk, MemberId, Term};
-use topazmount_control::{BeliefChange, Member, MembershipEvent, RolloutEvent, WeightsEvent};
+use topazmount_control::{Member, MembershipEvent, RecordChange, RolloutEvent, WeightsEvent};
 use topazmount_types::Time;
 
 /// Time after which the same line about the same matter is written again.
@@ -57,17 +57,17 @@
     /// Logs a step about the membership.
     pub(crate) fn membership(&self, event: &MembershipEvent) {
         match event {
-            MembershipEvent::InForce { .. } | MembershipEvent::LevelRaised(_) => {
+            MembershipEvent::Changed { .. } | MembershipEvent::LevelRaised(_) => {
                 log::info!("control: {event}");
             }
-            MembershipEvent::JoinAsked { id, .. } => {
+            MembershipEvent::JoinRequested { id, .. } => {
                 self.line(format!("join {id}"), event.to_string());
             }
-            MembershipEvent::JoinAnswered { member, .. } => {
+            MembershipEvent::JoinResponse { member, .. } => {
                 self.line(format!("asked {member}"), event.to_string());
             }
-            MembershipEvent::Proposed { reason, .. } => {
-                self.line(format!("{reason:?}"), event.to_string());
+            MembershipEvent::ChangeProposed { reason, .. } => {
+                self.line(reason.name().to_owned(), event.to_string());
             }
         }
     }
@@ -75,9 +75,9 @@
     /// Logs what the leader made of a replica's word on its weights. A replica may say the same with each heartbeat.
     pub(crate) fn weights(&self, event: &WeightsEvent) {
         match event.change {
-            BeliefChange::Taken | BeliefChange::TakenBack => log::info!("weights: {event}"),
-            BeliefChange::Kept => {
-                let matter = format!("{} {} {}", event.instance, event.start, event.said);
+            RecordChange::Updated | RecordChange::Reverted => log::info!("weights: {event}"),
+            RecordChange::Kept => {
+                let matter = format!("{} {} {}", event.instance, event.start, event.reported);
                 self.once(matter, || log::info!("weights: {event}"));
             }
         }
--- a/crates/topazmount/src/control_process.rs
+++ b/crates/topazmount/src/control_process.rs
@@ -79,7 +79,7 @@
         let answer = frames::within(limit, async { Ok(receiver.recv().await?) }).await;
         if answer.is_err() {
             self.shared.waiting.lock().unwrap().requesters.remove(&token);
-            let _ = self.shared.inputs.try_send(MemberInput::Gone(token));
+            let _ = self.shared.inputs.try_send(MemberInput::Disconnected(token));
         }
         answer
     }
@@ -104,7 +104,7 @@
     /// Takes the seeds of changed settings into use.
     pub fn set_seeds(&self, seeds: &[SocketAddr]) {
         let seeds = seeds.iter().map(SocketAddr::to_string).collect();
-        let _ = self.inputs.try_send(MemberInput::Seeds(seeds));
+        let _ = self.inputs.try_send(MemberInput::SeedsChanged(seeds));
     }
 
     /// The member, for tasks of this process.
@@ -114,7 +114,7 @@
 
     /// Hands over leadership and stops.
     pub async fn stop(mut self) {
-        let _ = self.inputs.send(MemberInput::HandOver).await;
+        let _ = self.inputs.send(MemberInput::TransferLeadership).await;
         async_io::Timer::after(HAND_OVER).await;
         self.inputs.close();
         if let Some(thread) = self.thread.take() {
@@ -276,20 +276,20 @@
                 let _ = queue.try_send(envelope);
             }
             MemberOutput::Respond(token, response) => self.respond(token, response),
-            MemberOutput::Act(action) => {
+            MemberOutput::Perform(action) => {
                 if let Some(actions) = &self.actions {
                     let _ = actions.try_send(action);
                 }
             }
-            MemberOutput::Tell(address, request) => {
+            MemberOutput::Notify(address, request) => {
                 if let Some(client) = self.client(&address) {
                     // What is not heard is made good by the next.
                     client.send(request, |_| {});
                 }
             }
-            MemberOutput::Ask(address, request) => self.ask(address, request),
-            MemberOutput::Note(event) => {
-                if matches!(&event, MembershipEvent::InForce { standing: Standing::Voter, .. }) {
+            MemberOutput::RequestJoin(address, request) => self.ask(address, request),
+            MemberOutput::Membership(event) => {
+                if matches!(&event, MembershipEvent::Changed { standing: Standing::Voter, .. }) {
                     self.asked.clear();
                 }
                 self.log.membership(&event);
@@ -344,7 +344,7 @@
                 log::debug!("control: event=ask_failed member={address} problem={problem:#}");
             }
             // A member that has stopped wants no answer.
-            let _ = inputs.send(MemberInput::JoinAnswered(address, response.ok())).await;
+            let _ = inputs.send(MemberInput::JoinResponse(address, response.ok())).await;
         };
         self.peers.executor.spawn(asking).detach();
     }
--- a/crates/topazmount/src/fleet/control_service.rs
+++ b/crates/topazmount/src/fleet/control_service.rs
@@ -175,7 +175,7 @@
                 let id = report.instance.id.clone();
                 let answer = self.ask(FleetRequest::Heartbeat(report)).await;
                 match answer {
-                    Some((FleetResponse::Foreign(cause), _)) => {
+                    Some((FleetResponse::Conflict(cause), _)) => {
                         self.foreign.note("heartbeat_foreign", &id, cause.name());
                         self.dialect.plain_answer(409, cause.name())
                     }
@@ -204,7 +204,7 @@
             }
             ControlCall::NameWeights { model, version } => {
                 log::info!("control: event=weights_named model={model} version={version}");
-                self.change(FleetRequest::NameWeights { model, version }).await
+                self.change(FleetRequest::PublishWeights { model, version }).await
             }
             ControlCall::ReadDocument => match self.ask(FleetRequest::ReadDocument).await {
                 Some((FleetResponse::Document(Some(document)), _)) => {
@@ -246,9 +246,9 @@
     fn note_plans(&self) {
         let plans = self.member.plans();
         let sum = |of: fn(&RolloutEvent) -> usize| plans.iter().map(of).sum::<usize>() as i64;
-        self.metrics.set_state("rollout_left", sum(|event| event.left));
+        self.metrics.set_state("rollout_left", sum(|event| event.remaining));
         self.metrics.set_state("rollout_late", sum(|event| event.plan.late));
-        self.metrics.set_state("rollout_at_once", sum(|event| event.plan.width));
+        self.metrics.set_state("rollout_at_once", sum(|event| event.plan.concurrency));
     }
 
     fn note_group(&self, status: &MemberStatus) {
@@ -266,8 +266,8 @@
             ("applied", status.applied as i64),
             ("voters", count(status.membership.voters.len())),
             ("learners", count(status.membership.learners.len())),
-            ("doubled_voters", count(status.doubled_voters())),
-            ("answering_voters", count(status.answering_voters())),
+            ("doubled_voters", count(status.duplicate_voters())),
+            ("answering_voters", count(status.responding_voters())),
         ];
         for (of, value) in figures {
             self.metrics.set_state(of, value);
