--- a/crates/topazmount/src/fleet/dialect.rs
+++ b/crates/topazmount/src/fleet/dialect.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use topazmount_admission::Pushback;
 use topazmount_control::{
-    Document, GatewayReport, InstanceReport, OrderEnd, ReplicaReport, WeightsOrder,
+    Document, GatewayReport, InstanceReport, OrderOutcome, ReplicaReport, WeightsOrder,
 };
 use topazmount_gateway::{Catalog, CatalogProblem, Prompt, StoreEvents};
 use topazmount_types::{ErrorKind, InstanceId, Start};
@@ -236,7 +236,7 @@
     fn order(&self, order: &WeightsOrder, holder: &str) -> HttpCall;
 
     /// How an order ended.
-    fn order_end(&self, status: u16) -> OrderEnd;
+    fn order_end(&self, status: u16) -> OrderOutcome;
 
     /// A question for a replica's report.
     fn report_call(&self) -> HttpCall;
--- a/crates/topazmount/src/fleet/directory.rs
+++ b/crates/topazmount/src/fleet/directory.rs
@@ -3,7 +3,7 @@
 use super::watcher::NewsReader;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
-use topazmount_control::{FleetView, GatewayReport, Seen};
+use topazmount_control::{FleetView, GatewayReport, SeenVersions};
 use topazmount_types::Time;
 
 /// Most gateways named in one answer.
@@ -13,7 +13,7 @@
 
 #[derive(Default)]
 struct State {
-    seen: Seen,
+    seen: SeenVersions,
     gateways: BTreeMap<String, GatewayReport>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl NewsReader for Directory {
-    fn request(&mut self) -> (Seen, Option<GatewayReport>) {
+    fn request(&mut self) -> (SeenVersions, Option<GatewayReport>) {
         let mut seen = self.state.lock().unwrap().seen;
         // Only the gateways matter here: all else would be told to each member's directory at each change of a replica.
         (seen.document, seen.revision, seen.statuses) = (u64::MAX, u64::MAX, (u64::MAX, u64::MAX));
--- a/crates/topazmount/src/fleet/gateway.rs
+++ b/crates/topazmount/src/fleet/gateway.rs
@@ -21,7 +21,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use topazmount_control::{CrashNotes, FleetView, GatewayReport, Seen};
+use topazmount_control::{CrashReport, FleetView, GatewayReport, SeenVersions};
 use topazmount_gateway::{HttpLimits, Knowledge};
 use topazmount_types::{ErrorKind, Instance, Time};
 use topazmount_wire::ClusterKey;
@@ -259,13 +259,13 @@
 }
 
 impl NewsReader for News {
-    fn request(&mut self) -> (Seen, Option<GatewayReport>) {
+    fn request(&mut self) -> (SeenVersions, Option<GatewayReport>) {
         let is_ready = self.shared.is_ready();
         let report = GatewayReport { is_ready, ..self.report.clone() };
         (self.shared.knowledge.lock().unwrap().seen(), Some(report))
     }
 
-    fn crashes(&mut self) -> CrashNotes {
+    fn crashes(&mut self) -> CrashReport {
         let now = self.shared.clock.now();
         self.shared.knowledge.lock().unwrap().crashes().notes(now)
     }
--- a/crates/topazmount/src/fleet/orders.rs
+++ b/crates/topazmount/src/fleet/orders.rs
@@ -10,7 +10,7 @@
 use eyre::Result;
 use std::sync::Arc;
 use std::time::Duration;
-use topazmount_control::{FleetAction, FleetRequest, OrderEnd, OrderReport, Request};
+use topazmount_control::{ActionReport, FleetAction, FleetRequest, OrderOutcome, Request};
 use topazmount_types::Start;
 
 /// Longest wait for the answer to an order or a question.
@@ -37,7 +37,7 @@
         let sender = sender.clone();
         let sending = async move {
             for report in sender.act(action).await {
-                let request = Request::Fleet(FleetRequest::OrderEnded(report));
+                let request = Request::Fleet(FleetRequest::ActionEnded(report));
                 let _ = sender.member.ask(request, LIMIT).await;
             }
         };
@@ -47,28 +47,29 @@
 
 impl Sender {
     /// Returns what is to be told of it, in order.
-    async fn act(&self, action: FleetAction) -> Vec<OrderReport> {
+    async fn act(&self, action: FleetAction) -> Vec<ActionReport> {
         match action {
             FleetAction::Order(order) => {
                 let answer = send(&order.address, self.dialect.order(&order, &self.holder)).await;
                 let said = self.pushback(&answer, &order.instance, order.start);
                 let end = match &answer {
                     Ok(answer) => self.dialect.order_end(answer.head.status),
-                    Err(_) => OrderEnd::Unknown,
+                    Err(_) => OrderOutcome::Unknown,
                 };
                 log::info!(
-                    "weights: event=order instance={} start={} model={} version={} fence={} sequence={} end={end:?}",
+                    "weights: event=order instance={} start={} model={} version={} fence={} sequence={} end={}",
                     order.instance,
                     order.start,
                     order.model,
                     order.version,
                     order.fence,
-                    order.expected_sequence
+                    order.expected_sequence,
+                    end.name()
                 );
-                let ended = OrderReport::Order(order.instance, order.start, end);
+                let ended = ActionReport::Order(order.instance, order.start, end);
                 said.into_iter().chain([ended]).collect()
             }
-            FleetAction::Question { instance, start, address } => {
+            FleetAction::Query { instance, start, address } => {
                 let answer = send(&address, self.dialect.report_call()).await;
                 let said = self.pushback(&answer, &instance, start);
                 let is_good = |answer: &ClientAnswer| answer.head.status == 200;
@@ -77,7 +78,7 @@
                 if body.is_some() && report.is_none() {
                     self.foreign.note("report_foreign", &instance, "unreadable");
                 }
-                let ended = OrderReport::Question(instance, report);
+                let ended = ActionReport::Query(instance, report);
                 said.into_iter().chain([ended]).collect()
             }
         }
@@ -89,7 +90,7 @@
         answer: &Result<ClientAnswer>,
         instance: &str,
         start: Start,
-    ) -> Option<OrderReport> {
+    ) -> Option<ActionReport> {
         let said = self.dialect.answer(&answer.as_ref().ok()?.head).pushback;
         if !said.asks() {
             return None;
@@ -99,7 +100,7 @@
             said.rest.map_or_else(|| "none".to_owned(), |rest| rest.as_millis().to_string()),
             said.is_leaving
         );
-        Some(OrderReport::Pushback(instance.to_owned(), start, said))
+        Some(ActionReport::Pushback(instance.to_owned(), start, said))
     }
 }
 
--- a/crates/topazmount/src/fleet/settings.rs
+++ b/crates/topazmount/src/fleet/settings.rs
@@ -160,9 +160,9 @@
     fn default() -> Self {
         let cfg = RolloutSettings::default();
         SparingRollout {
-            first_load_ms: cfg.first_load.as_millis() as u64,
-            usually_loading: cfg.usually_loading,
-            least_serving: cfg.least_serving,
+            first_load_ms: cfg.initial_load_time.as_millis() as u64,
+            usually_loading: cfg.usual_loading_share,
+            least_serving: cfg.min_serving_share,
         }
     }
 }
@@ -351,10 +351,10 @@
     pub fn rollout(&self) -> RolloutSettings {
         RolloutSettings {
             lease: Duration::from_millis(self.bounds.lease_ms),
-            spread: Duration::from_millis(self.bounds.spread_ms),
-            first_load: Duration::from_millis(self.rollout.first_load_ms),
-            usually_loading: self.rollout.usually_loading,
-            least_serving: self.rollout.least_serving,
+            deadline: Duration::from_millis(self.bounds.spread_ms),
+            initial_load_time: Duration::from_millis(self.rollout.first_load_ms),
+            usual_loading_share: self.rollout.usually_loading,
+            min_serving_share: self.rollout.least_serving,
             pushback: self.believed_pushback(),
         }
     }
--- a/crates/topazmount/src/fleet/watcher.rs
+++ b/crates/topazmount/src/fleet/watcher.rs
@@ -10,8 +10,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use topazmount_control::{
-    CrashNotes, FleetRequest, FleetResponse, FleetView, GatewayReport, Request, Response, Seen,
-    WatchRequest,
+    CrashReport, FleetRequest, FleetResponse, FleetView, GatewayReport, Request, Response,
+    SeenVersions, WatchRequest,
 };
 use topazmount_types::Time;
 use topazmount_wire::ClusterKey;
@@ -38,10 +38,10 @@
 /// What the owner of a watcher does with news.
 pub trait NewsReader: Send + 'static {
     /// What it has seen, and what it reports of itself.
-    fn request(&mut self) -> (Seen, Option<GatewayReport>);
+    fn request(&mut self) -> (SeenVersions, Option<GatewayReport>);
     /// What it saw of crashes lately.
-    fn crashes(&mut self) -> CrashNotes {
-        CrashNotes::default()
+    fn crashes(&mut self) -> CrashReport {
+        CrashReport::default()
     }
     /// Takes news that was asked for at `asked_at`.
     fn read(&mut self, view: FleetView, asked_at: Time);
--- a/crates/topazmount/src/frames.rs
+++ b/crates/topazmount/src/frames.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use topazmount_control::{FirstFormLink, Frame};
+use topazmount_control::{Frame, LegacyLink};
 use topazmount_wire::{
     ClusterKey, Form, HELLO_LENGTH, Hello, LENGTH_PREFIX, Opener, Role, Sealer, decode_payload,
     encode_payload, frame_length, pack, session_keys, unpack,
@@ -17,7 +17,7 @@
 pub const GREETING_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// What a connection to a process that speaks the first form has carried; none on others.
-type FirstForm = Option<Arc<Mutex<FirstFormLink>>>;
+type FirstForm = Option<Arc<Mutex<LegacyLink>>>;
 
 /// Sending half.
 pub struct FrameWriter {
--- a/crates/topazmount/src/operator/config.rs
+++ b/crates/topazmount/src/operator/config.rs
@@ -111,7 +111,7 @@
     let mut newest: BTreeMap<String, NodeReport> = BTreeMap::new();
     for report in statuses.iter().flat_map(|status| &status.nodes) {
         let known = newest.get(&report.name);
-        if known.is_none_or(|known| known.heard_at < report.heard_at) {
+        if known.is_none_or(|known| known.received_at < report.received_at) {
             newest.insert(report.name.clone(), report.clone());
         }
     }
--- a/crates/topazmount/src/operator/mod.rs
+++ b/crates/topazmount/src/operator/mod.rs
@@ -197,8 +197,8 @@
             "revision": status.revision.0, "ledger_keys": status.ledger_keys,
             "voters": status.membership.voters.len(), "learners": status.membership.learners.len(),
             "standing": status.standing, "standing_s": status.standing_for.as_secs_f64(),
-            "doubled_voters": status.doubled_voters(),
-            "answering_voters": status.is_leader.then(|| status.answering_voters()),
+            "doubled_voters": status.duplicate_voters(),
+            "answering_voters": status.is_leader.then(|| status.responding_voters()),
         });
         println!("{row}");
         return;
@@ -214,7 +214,7 @@
         status.applied,
         status.revision,
         status.membership.voters.len(),
-        status.doubled_voters(),
+        status.duplicate_voters(),
         status.membership.learners.len()
     );
 }
--- a/crates/topazmount/tests/fleet_settings.rs
+++ b/crates/topazmount/tests/fleet_settings.rs
@@ -45,7 +45,7 @@
     let settings = FleetSettings::parse(&GOOD.replace("[[policy]]", tables)).unwrap();
     assert_eq!(settings.rollout().pushback.longest_rest, Duration::from_secs(5));
     assert_eq!(settings.rollout().pushback, settings.gateway().pushback);
-    assert_eq!(settings.rollout().first_load, Duration::from_millis(700));
+    assert_eq!(settings.rollout().initial_load_time, Duration::from_millis(700));
 }
 
 #[rstest]
--- a/crates/topazmount/tests/message_meter.rs
+++ b/crates/topazmount/tests/message_meter.rs
@@ -7,7 +7,7 @@
 use topazmount::control_client::ControlClient;
 use topazmount::control_process::{ControlOptions, start};
 use topazmount::message_meter::{MessageTotals, Way};
-use topazmount_control::{FleetRequest, Request, Seen, WatchRequest};
+use topazmount_control::{FleetRequest, Request, SeenVersions, WatchRequest};
 use topazmount_settings::{ControlSettings, Peer, SourceFiles};
 use topazmount_wire::ClusterKey;
 
@@ -45,7 +45,7 @@
     for _ in 0..ASKED {
         let watch = WatchRequest {
             gateway: None,
-            seen: Seen::default(),
+            seen: SeenVersions::default(),
             wants_gateways: false,
             wait: Duration::ZERO,
             crashes: Default::default(),
--- a/crates/topazmount/tests/silent_links.rs
+++ b/crates/topazmount/tests/silent_links.rs
@@ -15,7 +15,9 @@
 use topazmount::control_links::Peers;
 use topazmount::control_process::{ControlOptions, start};
 use topazmount_consensus::{Envelope, MemberId, Message};
-use topazmount_control::{FleetRequest, FleetResponse, Request, Response, Seen, WatchRequest};
+use topazmount_control::{
+    FleetRequest, FleetResponse, Request, Response, SeenVersions, WatchRequest,
+};
 use topazmount_settings::{ControlSettings, Peer, SourceFiles};
 use topazmount_wire::ClusterKey;
 
@@ -71,7 +73,7 @@
 fn watch(wait: Duration) -> Request {
     Request::Fleet(FleetRequest::Watch(WatchRequest {
         gateway: None,
-        seen: Seen::default(),
+        seen: SeenVersions::default(),
         wants_gateways: false,
         wait,
         crashes: Default::default(),
