--- a/crates/gateway/src/knowledge/placement.rs
+++ b/crates/gateway/src/knowledge/placement.rs
@@ -6,7 +6,7 @@
 use crate::shards::{GatewayList, Shard};
 use crate::stores::MAX_STORE_READERS;
 use std::net::SocketAddr;
-use topazmount_control::GatewayNews;
+use topazmount_control::GatewayListUpdate;
 use topazmount_types::Time;
 
 impl GatewayState {
@@ -41,7 +41,7 @@
         self.quotas.set_own(own);
     }
 
-    pub(super) fn set_gateways(&mut self, news: &GatewayNews, now: Time) {
+    pub(super) fn set_gateways(&mut self, news: &GatewayListUpdate, now: Time) {
         if news.is_full {
             self.named.clear();
         }
--- a/crates/topazmount/src/fleet/orders.rs
+++ b/crates/topazmount/src/fleet/orders.rs
@@ -10,7 +10,7 @@
 use eyre::Result;
 use std::sync::Arc;
 use std::time::Duration;
-use topazmount_control::{FleetAction, FleetRequest, OrderEnd, OrderReport, Request};
+use topazmount_control::{ActionReport, FleetAction, FleetRequest, OrderOutcome, Request};
 use topazmount_types::Start;
 
 /// Longest wait for the answer to an order or a question.
@@ -37,7 +37,7 @@
         let sender = sender.clone();
         let sending = async move {
             for report in sender.act(action).await {
-                let request = Request::Fleet(FleetRequest::OrderEnded(report));
+                let request = Request::Fleet(FleetRequest::ActionEnded(report));
                 let _ = sender.member.ask(request, LIMIT).await;
             }
         };
@@ -47,7 +47,7 @@
 
 impl Sender {
     /// Returns what is to be told of it, in order.
-    async fn act(&self, action: FleetAction) -> Vec<OrderReport> {
+    async fn act(&self, action: FleetAction) -> Vec<ActionReport> {
         match action {
             FleetAction::Order(order) => {
                 let answer =
@@ -55,7 +55,7 @@
                 let said = self.pushback(&answer, &order.instance, order.start);
                 let end = match &answer {
                     Ok(answer) => self.dialect.order_outcome(answer.head.status),
-                    Err(_) => OrderEnd::Unknown,
+                    Err(_) => OrderOutcome::Unknown,
                 };
                 log::info!(
                     "weights: event=order instance={} start={} model={} version={} fence={} sequence={} end={}",
@@ -65,12 +65,12 @@
                     order.version,
                     order.fence,
                     order.expected_sequence,
-                    order_end_label(end)
+                    end.name()
                 );
-                let ended = OrderReport::Order(order.instance, order.start, end);
+                let ended = ActionReport::Order(order.instance, order.start, end);
                 said.into_iter().chain([ended]).collect()
             }
-            FleetAction::Question { instance, start, address } => {
+            FleetAction::Query { instance, start, address } => {
                 let answer = send(&address, self.dialect.report_call()).await;
                 let said = self.pushback(&answer, &instance, start);
                 let is_good = |answer: &ClientAnswer| answer.head.status == 200;
@@ -79,7 +79,7 @@
                 if body.is_some() && report.is_none() {
                     self.foreign.note("report_foreign", &instance, "unreadable");
                 }
-                let ended = OrderReport::Question(instance, report);
+                let ended = ActionReport::Query(instance, report);
                 said.into_iter().chain([ended]).collect()
             }
         }
@@ -91,7 +91,7 @@
         answer: &Result<ClientAnswer>,
         instance: &str,
         start: Start,
-    ) -> Option<OrderReport> {
+    ) -> Option<ActionReport> {
         let said = self.dialect.response_metadata(&answer.as_ref().ok()?.head).pushback;
         if !said.asks() {
             return None;
@@ -101,7 +101,7 @@
             said.rest.map_or_else(|| "none".to_owned(), |rest| rest.as_millis().to_string()),
             said.is_leaving
         );
-        Some(OrderReport::Pushback(instance.to_owned(), start, said))
+        Some(ActionReport::Pushback(instance.to_owned(), start, said))
     }
 }
 
@@ -109,15 +109,3 @@
 async fn send(address: &str, req: HttpRequest) -> Result<ClientAnswer> {
     Caller::new(address)?.call(req, MAX_ANSWER, LIMIT).await
 }
-
-/// Label of an order's end in logs.
-fn order_end_label(end: OrderEnd) -> &'static str {
-    match end {
-        OrderEnd::Accepted => "Accepted",
-        OrderEnd::Holds => "Holds",
-        OrderEnd::Conflict => "Conflict",
-        OrderEnd::Fenced => "Fenced",
-        OrderEnd::Refused => "Refused",
-        OrderEnd::Unknown => "Unknown",
-    }
-}
--- a/crates/topazmount/tests/fleet_settings.rs
+++ b/crates/topazmount/tests/fleet_settings.rs
@@ -49,7 +49,7 @@
     let settings = FleetSettings::parse(&GOOD.replace("[[policy]]", tables)).unwrap();
     assert_eq!(settings.rollout_settings().pushback.longest_rest, Duration::from_secs(5));
     assert_eq!(settings.rollout_settings().pushback, settings.gateway_settings().pushback);
-    assert_eq!(settings.rollout_settings().first_load, Duration::from_millis(700));
+    assert_eq!(settings.rollout_settings().initial_load_time, Duration::from_millis(700));
 }
 
 #[rstest]
