--- a/crates/control/src/repair.rs
+++ b/crates/control/src/repair.rs
@@ -4,7 +4,7 @@
 
 use crate::events::{ChangeReason, MembershipEvent};
 use crate::member::Member;
-use crate::protocol::{JoinAnswer, Response};
+use crate::protocol::{JoinResponse, Response};
 use std::cmp::Ordering;
 use std::time::Duration;
 use topazmount_consensus::{
@@ -36,39 +36,39 @@
 impl<D: Disk> Member<D> {
     pub(crate) fn on_join(&mut self, now: Time, id: MemberId, info: MemberInfo) -> Response {
         if !self.replica.has_lease(now) {
-            return Response::Joining(JoinAnswer::AskElsewhere {
+            return Response::Joining(JoinResponse::Redirect {
                 leader: self.known_leader(now),
                 members: self.known_addresses(now),
             });
         }
         let answer = self.admit(id, &info);
-        self.note(MembershipEvent::JoinAsked { id, info, answer: answer.clone() });
+        self.note(MembershipEvent::JoinRequested { id, info, response: answer.clone() });
         Response::Joining(answer)
     }
 
-    fn admit(&mut self, id: MemberId, info: &MemberInfo) -> JoinAnswer {
+    fn admit(&mut self, id: MemberId, info: &MemberInfo) -> JoinResponse {
         let membership = self.replica.membership();
         match membership.status(id) {
-            MembershipStatus::Voter => return JoinAnswer::Voter,
-            MembershipStatus::Learner => return JoinAnswer::Learner,
+            MembershipStatus::Voter => return JoinResponse::Voter,
+            MembershipStatus::Learner => return JoinResponse::Learner,
             MembershipStatus::Outside => {}
         }
         let (change, reason, answer) = match stale_learner(membership, info) {
             Some(old) => (
                 MembershipChange::Remove(old),
                 ChangeReason::LearnerReplaced,
-                JoinAnswer::ReplacesLearner,
+                JoinResponse::ReplacesLearner,
             ),
             None => (
                 MembershipChange::AddLearner(id, info.clone()),
-                ChangeReason::Asked,
-                JoinAnswer::Proposed,
+                ChangeReason::JoinRequested,
+                JoinResponse::Proposed,
             ),
         };
         match self.change_membership(change, reason) {
             Ok(()) => answer,
             // It is asked for again with the next request to join.
-            Err(_) => JoinAnswer::Busy,
+            Err(_) => JoinResponse::Busy,
         }
     }
 
@@ -82,7 +82,7 @@
         // It is tried again at each tick and told once.
         if hindered.is_none() || hindered != self.hindered {
             let hindrance = proposed.err();
-            self.note(MembershipEvent::Proposed { change, reason, hindrance });
+            self.note(MembershipEvent::ChangeProposed { change, reason, error: hindrance });
         }
         self.hindered = hindered;
         proposed.map(|_| ())
@@ -119,12 +119,12 @@
                 let gone = self
                     .succeeded_voter(now, membership.target_size_or_current())
                     .filter(|_| is_over);
-                gone.map(remove(ChangeReason::Succeeded))
+                gone.map(remove(ChangeReason::SuccessorReady))
             })
-            .or_else(|| surplus_voter(replica, now).map(remove(ChangeReason::Surplus)))
-            .or_else(|| silent_learner(replica, now).map(remove(ChangeReason::LearnerGone)))
+            .or_else(|| surplus_voter(replica, now).map(remove(ChangeReason::SurplusVoter)))
+            .or_else(|| silent_learner(replica, now).map(remove(ChangeReason::LearnerTimedOut)))
             .or_else(|| {
-                let change = (MembershipChange::SetTargetSize, ChangeReason::Complete);
+                let change = (MembershipChange::SetTargetSize, ChangeReason::AllVotersResponding);
                 self.is_settled(now).then_some(change)
             })
     }
@@ -164,7 +164,7 @@
             return Some(promote);
         }
         if let Some(gone) = self.succeeded_voter(now, membership.voters.len()) {
-            return Some(remove(ChangeReason::Succeeded)(gone));
+            return Some(remove(ChangeReason::SuccessorReady)(gone));
         }
         // The group grows only while nobody is missing.
         let is_complete = membership.voters.keys().all(|voter| self.is_present(*voter, now));
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
-use topazmount_control::{BlockedRequest, CrashLedger, CrashNote, CrashNotes};
+use topazmount_control::{BlockedRequest, CrashLedger, CrashRecord, CrashReport};
 use topazmount_types::{ReplicaId, RequestDigest, Time};
 
 /// How long what was seen is told again. Control may have no leader for an election, and a gateway may be cut off
@@ -16,7 +16,7 @@
 /// request for news is held. Until then control knows better, since it knows who else ran at a replica.
 const ALONE_AFTER: Duration = Duration::from_secs(2);
 /// Crashes and completions that are told at a time, 2.2 KB at most; the oldest are left out.
-const MOST_TOLD: usize = 64;
+const MAX_NOTES: usize = 64;
 /// How long a request is suspected after it broke off, unless it is known that its replica lives or has ended: the
 /// silence after which control gives a replica up, 5 s, and time for the word of it.
 const SUSPECTED_FOR: Duration = Duration::from_secs(8);
@@ -58,7 +58,7 @@
 /// What one gateway knows of crashes. Invariant: a request that it saw run well is told to control as such for as long
 /// as its crashes would be.
 #[derive(Default)]
-pub struct Crashes {
+pub struct CrashTracker {
     /// What control says.
     blocked: HashSet<RequestDigest>,
     /// When control was heard last.
@@ -66,12 +66,12 @@
     /// What this gateway saw itself.
     own: CrashLedger,
     suspected: VecDeque<Suspicion>,
-    seen: VecDeque<(Time, CrashNote)>,
+    seen: VecDeque<(Time, CrashRecord)>,
     cleared: VecDeque<(Time, RequestDigest)>,
     completed: Completed,
 }
 
-impl Crashes {
+impl CrashTracker {
     /// Whether a request must not be sent to any replica.
     pub fn is_blocked(&self, request: RequestDigest, now: Time) -> bool {
         let is_alone = now >= self.heard_at + ALONE_AFTER;
@@ -79,7 +79,7 @@
     }
 
     /// Notes that a member of control vouched for what it tells.
-    pub fn heard(&mut self, now: Time) {
+    pub fn record_control_contact(&mut self, now: Time) {
         self.heard_at = self.heard_at.max(now);
     }
 
@@ -90,7 +90,7 @@
 
     /// Notes that the connection broke on which a replica had had a request for so long. Whether the replica has ended is
     /// often known later: its listener may outlive its worker, and its next life may listen at once.
-    pub fn broke(
+    pub fn on_connection_broken(
         &mut self,
         request: RequestDigest,
         incarnation: &str,
@@ -112,7 +112,7 @@
 
     /// Notes that a replica has ended without a word: what broke off at it counts as crashes. Returns for how many
     /// requests.
-    pub fn ended(&mut self, incarnation: &str, now: Time) -> usize {
+    pub fn on_replica_ended(&mut self, incarnation: &str, now: Time) -> usize {
         let suspected = std::mem::take(&mut self.suspected);
         let (ended, others): (VecDeque<Suspicion>, VecDeque<Suspicion>) =
             suspected.into_iter().partition(|one| one.incarnation == incarnation);
@@ -120,18 +120,18 @@
         let fresh = ended.iter().filter(|one| now < one.broke_at + SUSPECTED_FOR);
         let count = fresh.clone().count();
         for one in fresh {
-            self.crashed(one.request, incarnation, one.ran_for, one.broke_at);
+            self.record_crash(one.request, incarnation, one.ran_for, one.broke_at);
         }
         count
     }
 
     /// Notes that a replica answered what was sent to it at a moment: it outlived what broke off before.
-    pub fn acquit(&mut self, incarnation: &str, sent_at: Time) {
+    pub fn clear_suspicion(&mut self, incarnation: &str, sent_at: Time) {
         self.suspected.retain(|one| one.incarnation != incarnation || one.broke_at >= sent_at);
     }
 
     /// Notes that a replica crashed, at a moment, that had had a request for so long.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         request: RequestDigest,
         incarnation: &str,
@@ -139,14 +139,14 @@
         at: Time,
     ) {
         let replica = ReplicaId::from_name(incarnation);
-        let note = CrashNote { request, replica, ran_for, age: Duration::ZERO };
+        let note = CrashRecord { request, replica, ran_for, age: Duration::ZERO };
         self.cleared.retain(|(_, cleared)| *cleared != request);
         self.seen.push_back((at, note));
-        self.own.note(at, &CrashNotes { crashes: vec![note], completed: Vec::new() });
+        self.own.record(at, &CrashReport { crashes: vec![note], completed: Vec::new() });
     }
 
     /// Notes that a request ran to its end. Returns whether control should hear of it at once.
-    pub fn completed(&mut self, request: RequestDigest, now: Time) -> bool {
+    pub fn record_completion(&mut self, request: RequestDigest, now: Time) -> bool {
         self.completed.add(request, now);
         if !self.seen.iter().any(|(_, note)| note.request == request) {
             return false;
@@ -158,16 +158,16 @@
     fn clear(&mut self, request: RequestDigest, now: Time) {
         self.seen.retain(|(_, note)| note.request != request);
         self.cleared.push_back((now, request));
-        self.own.note(now, &CrashNotes { crashes: Vec::new(), completed: vec![request] });
+        self.own.record(now, &CrashReport { crashes: Vec::new(), completed: vec![request] });
     }
 
     /// What control should hear.
-    pub fn notes(&mut self, now: Time) -> CrashNotes {
-        self.own.forget(now);
+    pub fn notes(&mut self, now: Time) -> CrashReport {
+        self.own.expire(now);
         trim(&mut self.seen, now);
         trim(&mut self.cleared, now);
-        let aged = |(at, note): &(Time, CrashNote)| CrashNote { age: now.since(*at), ..*note };
-        CrashNotes {
+        let aged = |(at, note): &(Time, CrashRecord)| CrashRecord { age: now.since(*at), ..*note };
+        CrashReport {
             crashes: self.seen.iter().map(aged).collect(),
             completed: self.cleared.iter().map(|(_, request)| *request).collect(),
         }
@@ -184,7 +184,7 @@
         let added: Vec<RequestDigest> = next.difference(&self.blocked).copied().collect();
         let gone = self.blocked.difference(&next).copied().collect();
         for one in blocked.iter().filter(|one| added.contains(&one.request)) {
-            let first = now - one.evidence;
+            let first = now - one.crash_span;
             if self.completed.at.get(&one.request).is_some_and(|at| *at > first) {
                 self.clear(one.request, now);
             }
@@ -196,7 +196,7 @@
 
 /// Leaves out what is old, and what is more than can be told.
 fn trim<T>(entries: &mut VecDeque<(Time, T)>, now: Time) {
-    while entries.front().is_some_and(|(at, _)| *at + TOLD_FOR < now) || entries.len() > MOST_TOLD {
+    while entries.front().is_some_and(|(at, _)| *at + TOLD_FOR < now) || entries.len() > MAX_NOTES {
         entries.pop_front();
     }
 }
--- a/crates/topazmount/src/fleet/gateway.rs
+++ b/crates/topazmount/src/fleet/gateway.rs
@@ -2,7 +2,7 @@
 
 use super::clients;
 use super::crash_watch;
-use super::dialect::{ControlCall, Dialect, HttpAnswer};
+use super::dialect::{ControlCall, Dialect, HttpResponse};
 use super::http_service::{self, Service};
 use super::journal::Journal;
 use super::metrics::{Metrics, MetricsService};
@@ -21,8 +21,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use topazmount_control::{CrashNotes, FleetView, GatewayReport, Seen};
-use topazmount_gateway::{HttpLimits, Knowledge};
+use topazmount_control::{CrashReport, FleetView, GatewayReport, SeenVersions};
+use topazmount_gateway::{GatewayState, HttpLimits};
 use topazmount_types::{ErrorKind, Instance, Time};
 use topazmount_wire::ClusterKey;
 
@@ -46,7 +46,7 @@
 pub(super) struct Shared {
     pub(super) clock: Clock,
     pub(super) dialect: Arc<dyn Dialect>,
-    pub(super) knowledge: Mutex<Knowledge>,
+    pub(super) knowledge: Mutex<GatewayState>,
     pub(super) journal: Journal,
     pub(super) metrics: Metrics,
     pub(super) peers: Arc<Peers>,
@@ -82,8 +82,9 @@
         let key = ClusterKey::from_text(&settings.cluster_key);
         let peers = Peers::bind(clients, settings.peer_port, key.clone()).await;
         let peers = Arc::new(peers.wrap_err("listening for other gateways")?);
-        let mut knowledge = Knowledge::new(&settings.zone, settings.gateway(), rand::random());
-        settings.policy_table(knowledge.policies())?;
+        let mut knowledge =
+            GatewayState::new(&settings.zone, settings.gateway_settings(), rand::random());
+        settings.load_policies(knowledge.policies())?;
         knowledge.set_own_address(peers.own_address());
         let (nudge, nudges) = async_channel::bounded(1);
         let (broken_at, broken) = async_channel::bounded(crash_watch::MOST_WAITING);
@@ -117,7 +118,7 @@
         executor.spawn(peers::listen(peers, shared.clone())).detach();
         executor.spawn(crash_watch::run(executor.clone(), shared.clone(), broken)).detach();
         executor.spawn(store_reader::run(executor.clone(), shared.clone())).detach();
-        let seeds = Seeds::new(settings.seed_peers());
+        let seeds = Seeds::new(settings.seed_peer_addresses());
         let watcher = Watcher::new(executor, clock, key, seeds.clone(), true);
         let report = GatewayReport {
             address: clients.to_string(),
@@ -128,18 +129,18 @@
         let news = News { shared: shared.clone(), report };
         executor.spawn(watcher.run(news, nudges)).detach();
         log::info!("gateway: event=start name={} zone={}", settings.name, settings.zone);
-        Ok(Gateway { shared, stop_time: settings.stop_time(), seeds })
+        Ok(Gateway { shared, stop_time: settings.stop_timeout(), seeds })
     }
 
     /// Takes changed settings into use; addresses and names stay until the next start.
     pub fn reload(&self, settings: &FleetSettings) {
         let mut knowledge = self.shared.knowledge.lock().unwrap();
-        if let Err(error) = settings.policy_table(knowledge.policies()) {
+        if let Err(error) = settings.load_policies(knowledge.policies()) {
             log::error!("gateway: event=reload_refused problem={error:#}");
             return;
         }
-        knowledge.set_settings(settings.gateway());
-        self.seeds.set(settings.seed_peers());
+        knowledge.set_settings(settings.gateway_settings());
+        self.seeds.set(settings.seed_peer_addresses());
         log::info!("gateway: event=reload policies={}", settings.policies.len());
     }
 
@@ -182,7 +183,7 @@
         let open = self.open_requests.load(Ordering::SeqCst);
         {
             let mut knowledge = self.knowledge.lock().unwrap();
-            let seen = knowledge.seen();
+            let seen = knowledge.seen_versions();
             self.metrics.set_state("configuration_version", seen.document as i64);
             self.metrics.set_state("registry_revision", seen.revision as i64);
             for (name, counters) in knowledge.policies().report() {
@@ -232,12 +233,12 @@
 struct Readiness(Arc<Shared>);
 
 impl Service for Readiness {
-    async fn answer(&self, head: RequestHead, body: Vec<u8>) -> HttpAnswer {
+    async fn answer(&self, head: RequestHead, body: Vec<u8>) -> HttpResponse {
         let dialect = &self.0.dialect;
-        match dialect.control_call(&head, &body) {
-            ControlCall::Readiness if self.0.is_ready() => dialect.plain_answer(200, "ready"),
-            ControlCall::Readiness => dialect.plain_answer(503, "not ready"),
-            _ => dialect.plain_answer(404, "no such call"),
+        match dialect.parse_control_call(&head, &body) {
+            ControlCall::Readiness if self.0.is_ready() => dialect.message_response(200, "ready"),
+            ControlCall::Readiness => dialect.message_response(503, "not ready"),
+            _ => dialect.message_response(404, "no such call"),
         }
     }
 }
@@ -251,7 +252,8 @@
     /// Gateways that have just been named learn the limits that this one grants of before they send much.
     fn tell_newcomers(&self) {
         let now = self.shared.clock.now();
-        let (newcomers, limits) = self.shared.knowledge.lock().unwrap().news_for_newcomers(now);
+        let (newcomers, limits) =
+            self.shared.knowledge.lock().unwrap().limit_updates_for_new_gateways(now);
         for news in limits {
             self.shared.peers.tell_limit(newcomers.clone(), news);
         }
@@ -259,20 +261,20 @@
 }
 
 impl NewsReader for News {
-    fn request(&mut self) -> (Seen, Option<GatewayReport>) {
+    fn request(&mut self) -> (SeenVersions, Option<GatewayReport>) {
         let is_ready = self.shared.is_ready();
         let report = GatewayReport { is_ready, ..self.report.clone() };
-        (self.shared.knowledge.lock().unwrap().seen(), Some(report))
+        (self.shared.knowledge.lock().unwrap().seen_versions(), Some(report))
     }
 
-    fn crashes(&mut self) -> CrashNotes {
+    fn crashes(&mut self) -> CrashReport {
         let now = self.shared.clock.now();
         self.shared.knowledge.lock().unwrap().crashes().notes(now)
     }
 
     fn read(&mut self, view: FleetView, asked_at: Time) {
         let catalog = view.document.as_ref().and_then(|document| {
-            let catalog = self.shared.dialect.catalog(&document.bytes);
+            let catalog = self.shared.dialect.parse_catalog(&document.bytes);
             if let Err(problem) = &catalog {
                 log::error!("gateway: event=unreadable_document problem={problem}");
             }
--- a/crates/topazmount/src/fleet/orders.rs
+++ b/crates/topazmount/src/fleet/orders.rs
@@ -1,8 +1,8 @@
 //! Sends the leader's orders and questions to replicas, and tells how they ended.
 
 use super::caller::Caller;
-use super::dialect::{Dialect, HttpCall};
-use super::foreign_log::ForeignLog;
+use super::dialect::{Dialect, HttpRequest};
+use super::external_log::ExternalLog;
 use crate::Executor;
 use crate::control_process::LocalMember;
 use crate::http1::ClientAnswer;
@@ -10,7 +10,7 @@
 use eyre::Result;
 use std::sync::Arc;
 use std::time::Duration;
-use topazmount_control::{FleetAction, FleetRequest, OrderEnd, OrderReport, Request};
+use topazmount_control::{ActionReport, FleetAction, FleetRequest, OrderOutcome, Request};
 use topazmount_types::Start;
 
 /// Longest wait for the answer to an order or a question.
@@ -28,7 +28,7 @@
     /// Who gives the orders.
     pub(super) holder: String,
     /// Takes note of answers that are no reports.
-    pub(super) foreign: Arc<ForeignLog>,
+    pub(super) foreign: Arc<ExternalLog>,
 }
 
 /// Sends actions until the member stops.
@@ -37,7 +37,7 @@
         let sender = sender.clone();
         let sending = async move {
             for report in sender.act(action).await {
-                let request = Request::Fleet(FleetRequest::OrderEnded(report));
+                let request = Request::Fleet(FleetRequest::ActionEnded(report));
                 let _ = sender.member.ask(request, LIMIT).await;
             }
         };
@@ -47,37 +47,39 @@
 
 impl Sender {
     /// Returns what is to be told of it, in order.
-    async fn act(&self, action: FleetAction) -> Vec<OrderReport> {
+    async fn act(&self, action: FleetAction) -> Vec<ActionReport> {
         match action {
             FleetAction::Order(order) => {
-                let answer = send(&order.address, self.dialect.order(&order, &self.holder)).await;
+                let answer =
+                    send(&order.address, self.dialect.order_call(&order, &self.holder)).await;
                 let said = self.pushback(&answer, &order.instance, order.start);
                 let end = match &answer {
-                    Ok(answer) => self.dialect.order_end(answer.head.status),
-                    Err(_) => OrderEnd::Unknown,
+                    Ok(answer) => self.dialect.order_outcome(answer.head.status),
+                    Err(_) => OrderOutcome::Unknown,
                 };
                 log::info!(
-                    "weights: event=order instance={} start={} model={} version={} fence={} sequence={} end={end:?}",
+                    "weights: event=order instance={} start={} model={} version={} fence={} sequence={} end={}",
                     order.instance,
                     order.start,
                     order.model,
                     order.version,
                     order.fence,
-                    order.expected_sequence
+                    order.expected_sequence,
+                    end.name()
                 );
-                let ended = OrderReport::Order(order.instance, order.start, end);
+                let ended = ActionReport::Order(order.instance, order.start, end);
                 said.into_iter().chain([ended]).collect()
             }
-            FleetAction::Question { instance, start, address } => {
+            FleetAction::Query { instance, start, address } => {
                 let answer = send(&address, self.dialect.report_call()).await;
                 let said = self.pushback(&answer, &instance, start);
                 let is_good = |answer: &ClientAnswer| answer.head.status == 200;
                 let body = answer.ok().filter(is_good).map(|answer| answer.body);
-                let report = body.as_ref().and_then(|body| self.dialect.report(body));
+                let report = body.as_ref().and_then(|body| self.dialect.parse_report(body));
                 if body.is_some() && report.is_none() {
                     self.foreign.note("report_foreign", &instance, "unreadable");
                 }
-                let ended = OrderReport::Question(instance, report);
+                let ended = ActionReport::Query(instance, report);
                 said.into_iter().chain([ended]).collect()
             }
         }
@@ -89,8 +91,8 @@
         answer: &Result<ClientAnswer>,
         instance: &str,
         start: Start,
-    ) -> Option<OrderReport> {
-        let said = self.dialect.answer(&answer.as_ref().ok()?.head).pushback;
+    ) -> Option<ActionReport> {
+        let said = self.dialect.response_metadata(&answer.as_ref().ok()?.head).pushback;
         if !said.is_requested() {
             return None;
         }
@@ -99,11 +101,11 @@
             said.backoff.map_or_else(|| "none".to_owned(), |rest| rest.as_millis().to_string()),
             said.is_leaving
         );
-        Some(OrderReport::Pushback(instance.to_owned(), start, said))
+        Some(ActionReport::Pushback(instance.to_owned(), start, said))
     }
 }
 
 /// Each call goes out once: an order may be carried out without an answer.
-async fn send(address: &str, req: HttpCall) -> Result<ClientAnswer> {
+async fn send(address: &str, req: HttpRequest) -> Result<ClientAnswer> {
     Caller::new(address)?.call(req, MAX_ANSWER, LIMIT).await
 }
--- a/crates/topazmount/src/fleet/peers.rs
+++ b/crates/topazmount/src/fleet/peers.rs
@@ -10,7 +10,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use topazmount_gateway::{ChoiceQuestion, GrantAnswer, LimitNews, LoadNews, Offer, StripeId};
+use topazmount_gateway::{
+    GrantResponse, LimitUpdate, LoadUpdate, PlacementOffer, PlacementRequest, StripeId,
+};
 use topazmount_types::Digest;
 use topazmount_wire::{ClusterKey, decode_payload, encode_datagram, open_datagram, seal_datagram};
 
@@ -21,29 +23,37 @@
 
 /// What a gateway tells another one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-enum Message {
+pub enum GatewayMessage {
     /// Its work at a replica.
-    Load(LoadNews),
+    #[serde(rename = "Load")]
+    LoadUpdate(LoadUpdate),
     /// A question to a coordinator, by its number.
-    Question(u64, ChoiceQuestion),
+    #[serde(rename = "Question")]
+    ChoiceRequest(u64, PlacementRequest),
     /// The answer to the question of that number; none where no replica may be asked.
-    Answer(u64, Option<Offer>),
+    #[serde(rename = "Answer")]
+    ChoiceResponse(u64, Option<PlacementOffer>),
     /// Asks for units of a stripe of a tenant's limit, by the number of the question.
-    Grant(u64, StripeId, u32),
+    #[serde(rename = "Grant")]
+    GrantRequest(u64, StripeId, u32),
     /// The answer to that.
-    Granted(u64, GrantAnswer),
+    #[serde(rename = "Granted")]
+    GrantResponse(u64, GrantResponse),
     /// Units that were granted for a request that has not run.
-    GiveBack(StripeId, u32),
+    #[serde(rename = "GiveBack")]
+    UnitsReturned(StripeId, u32),
     /// What it was told of a replica's limit.
-    Limit(LimitNews),
+    #[serde(rename = "Limit")]
+    LimitUpdate(LimitUpdate),
     /// Asks for one request to a replica that names a limit, by the number of the question; answered by `Granted`.
-    GrantSend(u64, LimitNews),
+    #[serde(rename = "GrantSend")]
+    SendGrantRequest(u64, LimitUpdate),
 }
 
 /// An answer to a question.
 enum Answer {
-    Choice(Option<Offer>),
-    Grant(GrantAnswer),
+    Choice(Option<PlacementOffer>),
+    Grant(GrantResponse),
 }
 
 /// Ways to the other gateways.
@@ -59,7 +69,7 @@
 
 struct Outgoing {
     to: Vec<SocketAddr>,
-    message: Message,
+    message: GatewayMessage,
 }
 
 /// A question under way; forgotten when it is dropped.
@@ -103,12 +113,12 @@
 
     /// Tells others what there is to tell, without waiting. What can't be sent is lost: the next news
     /// makes it good.
-    pub(super) fn tell(&self, news: Option<(Vec<SocketAddr>, LoadNews)>) {
+    pub(super) fn tell(&self, news: Option<(Vec<SocketAddr>, LoadUpdate)>) {
         let Some((to, news)) = news else { return };
-        self.send(to, Message::Load(LoadNews { node: self.node, ..news }));
+        self.send(to, GatewayMessage::LoadUpdate(LoadUpdate { node: self.node, ..news }));
     }
 
-    fn send(&self, to: Vec<SocketAddr>, message: Message) {
+    fn send(&self, to: Vec<SocketAddr>, message: GatewayMessage) {
         if !to.is_empty() {
             let _ = self.waiting.0.try_send(Outgoing { to, message });
         }
@@ -118,10 +128,12 @@
     pub(super) async fn ask(
         &self,
         coordinator: SocketAddr,
-        question: ChoiceQuestion,
+        question: PlacementRequest,
         limit: Duration,
-    ) -> Option<Option<Offer>> {
-        match self.question(coordinator, |number| Message::Question(number, question), limit).await
+    ) -> Option<Option<PlacementOffer>> {
+        match self
+            .question(coordinator, |number| GatewayMessage::ChoiceRequest(number, question), limit)
+            .await
         {
             Some(Answer::Choice(offer)) => Some(offer),
             _ => None,
@@ -135,8 +147,11 @@
         stripe: StripeId,
         amount: u32,
         limit: Duration,
-    ) -> Option<GrantAnswer> {
-        match self.question(granter, |number| Message::Grant(number, stripe, amount), limit).await {
+    ) -> Option<GrantResponse> {
+        match self
+            .question(granter, |number| GatewayMessage::GrantRequest(number, stripe, amount), limit)
+            .await
+        {
             Some(Answer::Grant(answer)) => Some(answer),
             _ => None,
         }
@@ -147,29 +162,32 @@
     pub(super) async fn ask_send_grant(
         &self,
         granter: SocketAddr,
-        asked: LimitNews,
+        asked: LimitUpdate,
         limit: Duration,
-    ) -> Option<GrantAnswer> {
-        match self.question(granter, |number| Message::GrantSend(number, asked), limit).await {
+    ) -> Option<GrantResponse> {
+        match self
+            .question(granter, |number| GatewayMessage::SendGrantRequest(number, asked), limit)
+            .await
+        {
             Some(Answer::Grant(answer)) => Some(answer),
             _ => None,
         }
     }
 
     /// Tells others of a replica's limit, without waiting.
-    pub(super) fn tell_limit(&self, to: Vec<SocketAddr>, news: LimitNews) {
-        self.send(to, Message::Limit(news));
+    pub(super) fn tell_limit(&self, to: Vec<SocketAddr>, news: LimitUpdate) {
+        self.send(to, GatewayMessage::LimitUpdate(news));
     }
 
     /// Tells a granter of units that were not used.
     pub(super) fn give_back(&self, granter: SocketAddr, stripe: StripeId, amount: u32) {
-        self.send(vec![granter], Message::GiveBack(stripe, amount));
+        self.send(vec![granter], GatewayMessage::UnitsReturned(stripe, amount));
     }
 
     async fn question(
         &self,
         to: SocketAddr,
-        message: impl FnOnce(u64) -> Message,
+        message: impl FnOnce(u64) -> GatewayMessage,
         limit: Duration,
     ) -> Option<Answer> {
         let number = self.next_question.fetch_add(1, Ordering::Relaxed);
@@ -209,37 +227,40 @@
     loop {
         let Ok((length, sender)) = peers.socket.recv_from(&mut buffer).await else { continue };
         let payload = open_datagram(&peers.key, &buffer[..length]);
-        let message = payload.ok().and_then(|payload| decode_payload::<Message>(payload).ok());
+        let message =
+            payload.ok().and_then(|payload| decode_payload::<GatewayMessage>(payload).ok());
         let now = shared.clock.now();
         match message {
-            Some(Message::Load(news)) => {
-                shared.knowledge.lock().unwrap().balancer().apply_news(&news, now);
+            Some(GatewayMessage::LoadUpdate(news)) => {
+                shared.knowledge.lock().unwrap().balancer().apply_load_update(&news, now);
             }
-            Some(Message::Question(number, question)) => {
+            Some(GatewayMessage::ChoiceRequest(number, question)) => {
                 shared.metrics.event("question_answered");
-                let offer = shared.knowledge.lock().unwrap().answer(&question, now);
-                peers.send(vec![sender], Message::Answer(number, offer));
+                let offer = shared.knowledge.lock().unwrap().place(&question, now);
+                peers.send(vec![sender], GatewayMessage::ChoiceResponse(number, offer));
+            }
+            Some(GatewayMessage::ChoiceResponse(number, offer)) => {
+                peers.answered(number, Answer::Choice(offer))
             }
-            Some(Message::Answer(number, offer)) => peers.answered(number, Answer::Choice(offer)),
-            Some(Message::Grant(number, stripe, amount)) => {
+            Some(GatewayMessage::GrantRequest(number, stripe, amount)) => {
                 let answer = shared.knowledge.lock().unwrap().grant(stripe, amount, now);
                 shared.metrics.event(grant_event(answer));
-                peers.send(vec![sender], Message::Granted(number, answer));
+                peers.send(vec![sender], GatewayMessage::GrantResponse(number, answer));
             }
-            Some(Message::Granted(number, answer)) => {
+            Some(GatewayMessage::GrantResponse(number, answer)) => {
                 peers.answered(number, Answer::Grant(answer));
             }
-            Some(Message::GiveBack(stripe, amount)) => {
-                shared.knowledge.lock().unwrap().give_back(stripe, amount, now);
+            Some(GatewayMessage::UnitsReturned(stripe, amount)) => {
+                shared.knowledge.lock().unwrap().return_units(stripe, amount, now);
             }
-            Some(Message::Limit(news)) => {
-                let to = shared.knowledge.lock().unwrap().told_limit(&news, now);
+            Some(GatewayMessage::LimitUpdate(news)) => {
+                let to = shared.knowledge.lock().unwrap().apply_limit_update(&news, now);
                 peers.tell_limit(to, news);
             }
-            Some(Message::GrantSend(number, asked)) => {
+            Some(GatewayMessage::SendGrantRequest(number, asked)) => {
                 let answer = shared.knowledge.lock().unwrap().grant_send(&asked, now);
                 shared.metrics.event(send_grant_event(answer));
-                peers.send(vec![sender], Message::Granted(number, answer));
+                peers.send(vec![sender], GatewayMessage::GrantResponse(number, answer));
             }
             None => shared.metrics.event("bad_datagram"),
         }
@@ -247,19 +268,19 @@
 }
 
 /// Name of a granter's answer in metrics.
-fn grant_event(answer: GrantAnswer) -> &'static str {
+fn grant_event(answer: GrantResponse) -> &'static str {
     match answer {
-        GrantAnswer::Granted => "grant_given",
-        GrantAnswer::Over(_) => "grant_refused",
-        GrantAnswer::NotHolder => "grant_not_held",
+        GrantResponse::Granted => "grant_given",
+        GrantResponse::LimitExceeded(_) => "grant_refused",
+        GrantResponse::NotGranter => "grant_not_held",
     }
 }
 
 /// The same for requests to replicas that name a limit.
-pub(super) fn send_grant_event(answer: GrantAnswer) -> &'static str {
+pub(super) fn send_grant_event(answer: GrantResponse) -> &'static str {
     match answer {
-        GrantAnswer::Granted => "send_granted",
-        GrantAnswer::Over(_) => "send_refused",
-        GrantAnswer::NotHolder => "send_not_held",
+        GrantResponse::Granted => "send_granted",
+        GrantResponse::LimitExceeded(_) => "send_refused",
+        GrantResponse::NotGranter => "send_not_held",
     }
 }
