--- a/crates/control/tests/recorded_bytes.rs
+++ b/crates/control/tests/recorded_bytes.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use topazmount_admission::Pushback;
 use topazmount_consensus::{
-    Entry, Envelope, MemberId, MemberInfo, Membership, MembershipChange, Message, Payload,
-    ProposeError, Standing,
+    Entry, Envelope, MemberId, MemberInfo, Membership, MembershipChange, MembershipStatus, Message,
+    Payload, ProposeError,
 };
 use topazmount_control::{
     ActionReport, ActionResult, Availability, BlockedRequest, ChangeReason, ChangeReply,
@@ -101,7 +101,7 @@
     Membership {
         voters: BTreeMap::from([(MemberId(1), info())]),
         learners: BTreeMap::from([(MemberId(2), info())]),
-        full_size: 3,
+        target_size: 3,
     }
 }
 
@@ -116,7 +116,7 @@
         entries: entries.collect(),
         commit: 3,
         sent_at: Time(17),
-        returned: None,
+        echoed: None,
     };
     Envelope { from: MemberId(1), to: MemberId(2), term: 2, message }
 }
@@ -232,7 +232,7 @@
 /// What the first builds tell of the same view.
 fn first_view() -> FleetView {
     let removed =
-        RemovedInstance { id: "r3".to_owned(), was_announced: true, start: Start::UNSAID };
+        RemovedInstance { id: "r3".to_owned(), was_announced: true, start: Start::UNKNOWN };
     let gateways = GatewayListUpdate::full((5, 8), vec![gateway(1), gateway(2)]);
     FleetView {
         removed: vec![removed],
@@ -261,7 +261,12 @@
 }
 
 fn delta() -> FileDelta {
-    FileDelta { name: "tenants.toml".to_owned(), head: 4, tail: 1, middle: Some("2".to_owned()) }
+    FileDelta {
+        name: "tenants.toml".to_owned(),
+        prefix_bytes: 4,
+        suffix_bytes: 1,
+        replacement: Some("2".to_owned()),
+    }
 }
 
 fn order(mode: LoadMode) -> WeightsOrder {
@@ -284,7 +289,7 @@
 fn order_reports() -> Vec<(&'static str, ActionReport)> {
     let order = |end| ActionReport::Order("r1".to_owned(), Start(1_001), end);
     let pushback = Pushback {
-        rest: Some(Duration::from_millis(300)),
+        backoff: Some(Duration::from_millis(300)),
         is_leaving: true,
         ..Pushback::default()
     };
@@ -343,7 +348,7 @@
     requests.into_iter().chain(fleet).collect()
 }
 
-fn member_status(standing: Standing) -> MemberStatus {
+fn member_status(standing: MembershipStatus) -> MemberStatus {
     let node = NodeReport {
         name: "n".to_owned(),
         zone: "a".to_owned(),
@@ -431,9 +436,9 @@
         ("update_full", Response::Update(full)),
         ("source", Response::Source(Revision(2), source())),
         ("history", Response::History(vec![row])),
-        ("status_outside", status_of(Standing::Outside)),
-        ("status_learner", status_of(Standing::Learner)),
-        ("status_voter", status_of(Standing::Voter)),
+        ("status_outside", status_of(MembershipStatus::Outside)),
+        ("status_learner", status_of(MembershipStatus::Learner)),
+        ("status_voter", status_of(MembershipStatus::Voter)),
         ("not_leader", Response::NotLeader(Some(info()))),
         ("not_leader_unknown", Response::NotLeader(None)),
         ("refused", Response::Refused(refusal)),
@@ -571,7 +576,7 @@
                 None
             }
             Request::Fleet(FleetRequest::Depart(id, _)) => {
-                Some(Request::Fleet(FleetRequest::Depart(id, Start::UNSAID)))
+                Some(Request::Fleet(FleetRequest::Depart(id, Start::UNKNOWN)))
             }
             Request::Fleet(FleetRequest::Watch(mut watch)) => {
                 watch.seen.gateways = (0, 0);
@@ -654,7 +659,7 @@
         MembershipChange::AddLearner(MemberId(2), info()),
         MembershipChange::Promote(MemberId(2)),
         MembershipChange::Remove(MemberId(2)),
-        MembershipChange::Settle,
+        MembershipChange::SetTargetSize,
     ];
     let hindrances = [
         None,
@@ -664,11 +669,13 @@
         Some(ProposeError::BadChange),
     ];
     let mut events = vec![MembershipEvent::LevelRaised(FeatureLevel::INCARNATIONS)];
-    for standing in [Standing::Outside, Standing::Learner, Standing::Voter] {
+    for standing in [MembershipStatus::Outside, MembershipStatus::Learner, MembershipStatus::Voter]
+    {
         events.push(MembershipEvent::Changed { membership: membership(), standing });
     }
     let empty = Membership::default();
-    events.push(MembershipEvent::Changed { membership: empty, standing: Standing::Outside });
+    events
+        .push(MembershipEvent::Changed { membership: empty, standing: MembershipStatus::Outside });
     for (_, answer) in join_answers() {
         let (id, info) = (MemberId(2), info());
         events.push(MembershipEvent::JoinRequested { id, info, response: answer.clone() });
@@ -686,7 +693,7 @@
         events.push(MembershipEvent::ChangeProposed { change, reason, error: None });
     }
     for hindrance in hindrances {
-        let (change, reason) = (MembershipChange::Settle, ChangeReason::AllVotersResponding);
+        let (change, reason) = (MembershipChange::SetTargetSize, ChangeReason::AllVotersResponding);
         events.push(MembershipEvent::ChangeProposed { change, reason, error: hindrance });
     }
     events
--- a/crates/gateway/tests/overload.rs
+++ b/crates/gateway/tests/overload.rs
@@ -109,7 +109,7 @@
         id: id.clone(),
         availability: Availability::Available,
         models: vec![LoadedModel { model: "model".to_owned(), version: 1 }],
-        start: Start::UNSAID,
+        start: Start::UNKNOWN,
         correction: (0, 0),
     };
     let view = FleetView {
