--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,24 +1,24 @@
-//! Timing and size parameters of a replica.
+//! Timing and size parameters of a member.
 
 use std::time::Duration;
 
-/// Parameters that all members should share.
+/// Parameters, the same for all members of a group.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Shortest silence of a leader after which a follower stands for election. Each wait is drawn
-    /// from this to twice this.
+    /// Minimum time without a message of the leader before a follower starts an election. Each
+    /// timeout is drawn at random between this and twice this.
     pub election_timeout: Duration,
-    /// Time between two heartbeats of a leader.
+    /// Interval between heartbeats of a leader.
     pub heartbeat_interval: Duration,
-    /// How long after the sending of a heartbeat that a quorum answered the leader may rely on
-    /// being the only one. Must be shorter than `election_timeout` by more than clocks drift
-    /// within it.
+    /// Duration of the leader lease, counted from the sending of a heartbeat that a quorum
+    /// acknowledged. Must be shorter than `election_timeout` by more than the clock drift within
+    /// it.
     pub lease: Duration,
-    /// Most payload bytes in one append message.
+    /// Maximum payload bytes in one append message.
     pub max_append_bytes: usize,
-    /// Bytes of a snapshot in one message.
+    /// Maximum snapshot bytes in one message.
     pub snapshot_chunk_bytes: usize,
-    /// Entries kept behind a snapshot for followers that lag a little.
+    /// Entries kept before a snapshot, so that followers slightly behind need no snapshot.
     pub retained_entries: u64,
 }
 
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -1,13 +1,13 @@
-//! What the log needs of a disk.
+//! Storage interface of the log.
 
 use thiserror::Error;
 
-/// A failed disk operation. The member must stop: what is durable is no longer known.
+/// A failed disk operation. The member must stop, because the durable state is unknown.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("disk: {0}")]
 pub struct DiskError(pub String);
 
-/// A folder of files. Implemented over the file system by the shell and in memory by the simulator.
+/// A directory of files. Implemented on the file system and in memory.
 pub trait Disk {
     /// Names of all files.
     ///
@@ -15,13 +15,13 @@
     /// Any failure of the disk.
     fn list(&self) -> Result<Vec<String>, DiskError>;
 
-    /// Whole content of a file; `None` when there is none.
+    /// Content of a file; `None` if it does not exist.
     ///
     /// # Errors
     /// Any failure of the disk.
     fn read(&self, name: &str) -> Result<Option<Vec<u8>>, DiskError>;
 
-    /// Appends to a file, making it when needed. Not durable before [`Disk::sync`].
+    /// Appends to a file, creating it if needed. Not durable before [`Disk::sync`].
     ///
     /// # Errors
     /// Any failure of the disk.
@@ -33,7 +33,7 @@
     /// Any failure of the disk.
     fn sync(&mut self, name: &str) -> Result<(), DiskError>;
 
-    /// Puts a whole file in place, durable when the call returns, all or nothing.
+    /// Replaces a file atomically; durable when the call returns.
     ///
     /// # Errors
     /// Any failure of the disk.
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -8,8 +8,8 @@
 use topazmount_types::Time;
 
 impl RaftMember {
-    /// Compares a message's term with the own one; returns whether to go on with the message.
-    pub(crate) fn admit_term(&mut self, envelope: &Envelope) -> bool {
+    /// Compares a message's term with the own term; returns whether to process the message.
+    pub(crate) fn check_term(&mut self, envelope: &Envelope) -> bool {
         let own = self.hard_state.term;
         let is_pre_vote = matches!(envelope.message, Message::PreVote { .. });
         let granted_pre_vote = matches!(envelope.message, Message::PreVoteReply { granted: true });
@@ -18,8 +18,8 @@
                 return true;
             }
             if let Message::Vote { transfer, .. } = envelope.message {
-                // Thesis §4.2.3 and §6.4.1: within a leader's lease nobody is helped against it.
-                if !transfer && self.trusts_leader_other_than(envelope.from) {
+                // Thesis §4.2.3 and §6.4.1: no vote for another candidate within a leader's lease.
+                if !transfer && self.may_hold_lease_other_than(envelope.from) {
                     return false;
                 }
             }
@@ -27,7 +27,7 @@
             return true;
         }
         if envelope.term < own {
-            // Tells a cut-off leader or candidate of the newer term.
+            // Informs a partitioned leader or candidate of the newer term.
             match envelope.message {
                 Message::Append { sent_at, .. } | Message::Snapshot { sent_at, .. } => {
                     let index = self.log.last_index();
@@ -43,10 +43,10 @@
         true
     }
 
-    /// Whether a leader other than the candidate was heard so lately that its lease may still hold.
-    /// The leader that this member followed last has no lease any more when it asks for votes
-    /// itself, and the lease of any leader before that one was over when it was elected.
-    fn trusts_leader_other_than(&self, candidate: MemberId) -> bool {
+    /// Whether a leader other than the candidate may still hold its lease. A last followed leader
+    /// that asks for votes has given up its lease, and leases of earlier leaders ended before its
+    /// election.
+    fn may_hold_lease_other_than(&self, candidate: MemberId) -> bool {
         if self.role == Role::Leader {
             return true;
         }
@@ -54,7 +54,7 @@
             return false;
         }
         let timeout = self.config.election_timeout;
-        self.leader_heard_at.is_some_and(|heard| self.now < heard + timeout)
+        self.leader_message_at.is_some_and(|at| self.now < at + timeout)
     }
 
     pub(crate) fn become_follower(&mut self, term: Term, leader: Option<MemberId>) {
@@ -71,13 +71,13 @@
         self.reset_election_timer();
     }
 
-    /// Notes word from the leader of the current term.
+    /// Records a message from the leader of the current term.
     pub(crate) fn follow(&mut self, leader: MemberId) {
-        self.resumes_until = None;
+        self.resume_until = None;
         if self.role != Role::Follower || self.leader != Some(leader) {
             self.become_follower(self.hard_state.term, Some(leader));
         }
-        self.leader_heard_at = Some(self.now);
+        self.leader_message_at = Some(self.now);
         self.reset_election_timer();
     }
 
@@ -86,7 +86,7 @@
             return;
         }
         self.reset_election_timer();
-        if self.resumes_until.is_some_and(|until| self.now < until) {
+        if self.resume_until.is_some_and(|until| self.now < until) {
             self.election_at = self.now + self.config.heartbeat_interval;
         }
         if !self.membership.voters.contains_key(&self.id) {
@@ -114,7 +114,7 @@
     ) {
         let granted = term > self.hard_state.term
             && self.is_log_up_to_date(last_index, last_term)
-            && !self.trusts_leader_other_than(from);
+            && !self.may_hold_lease_other_than(from);
         let reply_term = if granted { term } else { self.hard_state.term };
         self.send_in_term(from, reply_term, Message::PreVoteReply { granted });
     }
@@ -164,11 +164,11 @@
         last_term: Term,
         transfer: bool,
     ) {
-        let free = self.hard_state.voted_for.is_none_or(|voted| voted == from);
-        let no_lease = transfer || !self.trusts_leader_other_than(from);
+        let can_vote = self.hard_state.voted_for.is_none_or(|voted| voted == from);
+        let is_lease_over = transfer || !self.may_hold_lease_other_than(from);
         let granted = self.role == Role::Follower
-            && free
-            && no_lease
+            && can_vote
+            && is_lease_over
             && self.is_log_up_to_date(last_index, last_term);
         if granted {
             self.hard_state.voted_for = Some(from);
@@ -196,7 +196,7 @@
         let next = self.log.last_index() + 1;
         let others = self.membership.others(self.id);
         self.progress = others.into_iter().map(|id| (id, Progress::new(next, self.now))).collect();
-        self.term_start = self.append_own(Payload::Empty);
+        self.term_start = self.append_entry(Payload::Empty);
         self.broadcast_append();
         self.heartbeat_at = self.now + self.config.heartbeat_interval;
     }
@@ -206,11 +206,11 @@
             return;
         }
         let timeout = self.config.election_timeout;
-        let heard = self.quorum_acknowledged_at().unwrap_or(self.leader_since);
-        // Thesis §6.2: a leader that no quorum answers steps down.
-        let is_cut_off = self.now >= heard.max(self.leader_since) + timeout * 2;
-        let handed_over = self.transfer_until.is_some_and(|until| self.now >= until);
-        if is_cut_off || handed_over {
+        let acknowledged_at = self.quorum_acknowledged_at().unwrap_or(self.leader_since);
+        // Thesis §6.2: a leader without replies from a quorum steps down.
+        let has_lost_quorum = self.now >= acknowledged_at.max(self.leader_since) + timeout * 2;
+        let is_transfer_over = self.transfer_until.is_some_and(|until| self.now >= until);
+        if has_lost_quorum || is_transfer_over {
             self.become_follower(self.hard_state.term, None);
             return;
         }
@@ -218,8 +218,8 @@
         self.broadcast_append();
     }
 
-    /// The newest time at which something was sent that a quorum has answered since; the leader
-    /// itself counts as answering now.
+    /// Latest send time that a quorum has acknowledged; the leader itself counts as acknowledging
+    /// now.
     pub(crate) fn quorum_acknowledged_at(&self) -> Option<Time> {
         let mut times: Vec<Time> = self
             .membership
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,11 +1,11 @@
 //! Replicated log as a pure state machine.
 //!
-//! [`RaftMember`] follows Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014, cited below
-//! as "thesis") with pre-vote (§9.6), quorum check and leader lease (§6.2, §6.4.1), single-server
-//! membership change (§4.1), learners (§4.2.1), snapshots (§5) and leadership transfer (§3.10).
-//! It performs no I/O and reads no clock: the driver feeds it messages and the time, takes a
-//! [`Ready`], makes its state durable, and only then sends its messages and applies its entries.
-//! [`Wal`] is the durable side, over a [`Disk`] that the driver provides.
+//! [`RaftMember`] implements Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014, cited
+//! below as "thesis") with pre-vote (§9.6), quorum check and leader lease (§6.2, §6.4.1),
+//! single-server membership change (§4.1), learners (§4.2.1), snapshots (§5) and leadership
+//! transfer (§3.10). It performs no I/O and reads no clock: the driver passes in messages and the
+//! time, takes a [`Ready`] batch, makes its state durable, and only then sends its messages and
+//! applies its entries. [`Wal`] is the durable log, stored on a [`Disk`] that the driver provides.
 
 mod config;
 mod disk;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,23 +1,23 @@
-//! The log as kept in memory: a snapshot's place and the entries after it.
+//! The in-memory log: the index and term of its base, and the entries after it.
 
 use crate::membership::Membership;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Position in the log; the first entry has 1.
+/// Index in the log; the first entry has index 1.
 pub type Index = u64;
 /// Election term.
 pub type Term = u64;
 
-/// What an entry carries.
+/// Content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// First entry of a leader's term; carries nothing (thesis §6.4).
+    /// No-op: the first entry of a leader's term (thesis §6.4).
     Empty,
     /// A command for the state machine.
     Command(#[serde(with = "serde_bytes")] Vec<u8>),
-    /// The membership from this entry on, effective as soon as it is in the log (thesis §4.1).
+    /// New membership, in effect as soon as the entry is in the log (thesis §4.1).
     Membership(Membership),
 }
 
@@ -34,21 +34,21 @@
     }
 }
 
-/// One entry.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Position.
+    /// Index.
     pub index: Index,
-    /// Term of the leader that made it.
+    /// Term of the leader that created it.
     pub term: Term,
     /// Content.
     pub payload: Payload,
 }
 
-/// Where a snapshot stands in the log.
+/// Position of a snapshot in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotMeta {
-    /// Last entry that it covers.
+    /// Index of the last entry that it includes.
     pub index: Index,
     /// That entry's term.
     pub term: Term,
@@ -56,16 +56,16 @@
     pub membership: Membership,
 }
 
-/// State of the machine at an entry, in place of the log up to it.
+/// State of the state machine at an entry; replaces the log up to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Its place.
+    /// Position in the log.
     pub meta: SnapshotMeta,
     /// Encoded state.
     pub data: Arc<Vec<u8>>,
 }
 
-/// Entries after a base, which is a snapshot's place or a little before it.
+/// Entries after a base, which is at or before the latest snapshot.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     base_index: Index,
@@ -74,12 +74,12 @@
 }
 
 impl Log {
-    /// A log of `entries` that follow the base without a gap.
+    /// Creates a log; `entries` must follow the base without a gap.
     pub fn new(base_index: Index, base_term: Term, entries: Vec<Entry>) -> Self {
         Log { base_index, base_term, entries: entries.into() }
     }
 
-    /// Position of the last entry, or of the base.
+    /// Index of the last entry, or of the base.
     pub fn last_index(&self) -> Index {
         self.base_index + self.entries.len() as u64
     }
@@ -89,12 +89,12 @@
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
-    /// Position of the first entry that is still here.
+    /// Index of the first entry in the log.
     pub fn first_index(&self) -> Index {
         self.base_index + 1
     }
 
-    /// Term at a position; `None` when it is compacted away or not here yet.
+    /// Term at an index; `None` if it was compacted or is after the end.
     pub fn term(&self, index: Index) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -102,13 +102,13 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// Entry at a position.
+    /// Entry at an index.
     pub fn entry(&self, index: Index) -> Option<&Entry> {
         let offset = index.checked_sub(self.base_index + 1)?;
         self.entries.get(offset as usize)
     }
 
-    /// Entries from `start` on, at least one where there is one, up to `max_bytes`.
+    /// Entries from `start` on, up to `max_bytes` but at least one if there is any.
     pub fn slice(&self, start: Index, max_bytes: usize) -> Vec<Entry> {
         let mut bytes = 0;
         let mut slice = Vec::new();
@@ -129,19 +129,19 @@
         (first..=last).filter_map(|index| self.entry(index).cloned()).collect()
     }
 
-    /// Adds an entry that must follow the last one.
+    /// Appends an entry, which must follow the last one.
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last_index() + 1);
         self.entries.push_back(entry);
     }
 
-    /// Drops the entry at `index` and all after it.
+    /// Removes the entry at `index` and all after it.
     pub fn truncate(&mut self, index: Index) {
-        let keep = index.saturating_sub(self.base_index + 1);
-        self.entries.truncate(keep as usize);
+        let kept = index.saturating_sub(self.base_index + 1);
+        self.entries.truncate(kept as usize);
     }
 
-    /// Drops entries up to and including `index`.
+    /// Removes entries up to and including `index`.
     pub fn compact(&mut self, index: Index) {
         let Some(term) = self.term(index) else { return };
         let drop = (index - self.base_index) as usize;
@@ -150,14 +150,14 @@
         self.base_term = term;
     }
 
-    /// Forgets everything in favour of a snapshot's place.
+    /// Removes all entries and sets the base to a snapshot.
     pub fn reset(&mut self, index: Index, term: Term) {
         self.entries.clear();
         self.base_index = index;
         self.base_term = term;
     }
 
-    /// The newest membership entry at or before the end, if one is still in the log.
+    /// The latest membership entry, if one is in the log.
     pub fn newest_membership(&self) -> Option<(Index, &Membership)> {
         self.entries.iter().rev().find_map(|entry| match &entry.payload {
             Payload::Membership(membership) => Some((entry.index, membership)),
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -1,4 +1,4 @@
-//! One member's state machine: roles, proposals and the batches handed to the driver.
+//! State machine of a member: roles, proposals and the batches for the driver.
 
 use crate::config::Config;
 use crate::log::{Entry, Index, Log, Payload, Snapshot, Term};
@@ -13,34 +13,35 @@
 use thiserror::Error;
 use topazmount_types::Time;
 
-/// What a member does in its term.
+/// Raft role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows, or waits for, a leader.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// Asks whether an election could be won.
+    /// Collects pre-votes.
     PreCandidate,
-    /// Stands for election.
+    /// Collects votes.
     Candidate,
-    /// Orders entries.
+    /// Accepts proposals and replicates entries.
     Leader,
 }
 
-/// Why a proposal was not taken.
+/// Why a proposal was rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ProposeError {
-    /// This member does not lead; the leader is named when known.
+    /// This member is not the leader; contains the leader if known.
     #[error("not the leader")]
     NotLeader(Option<MemberId>),
-    /// A membership change is still under way, or the leader has not committed in its term.
-    #[error("another membership change is under way")]
+    /// A membership change is in progress, or the leader has not committed an entry of its term
+    /// yet.
+    #[error("another membership change is in progress")]
     ChangePending,
-    /// The change does not fit the membership.
-    #[error("the change does not fit the membership")]
+    /// The change does not apply to the current membership.
+    #[error("the change does not apply to the current membership")]
     BadChange,
 }
 
-/// A member of the group.
+/// A member of a Raft group.
 #[derive(Clone)]
 pub struct RaftMember {
     pub(crate) id: MemberId,
@@ -60,19 +61,19 @@
     pub(crate) leader_since: Time,
     pub(crate) election_at: Time,
     pub(crate) heartbeat_at: Time,
-    pub(crate) leader_heard_at: Option<Time>,
-    /// Marks the replies of this process.
+    pub(crate) leader_message_at: Option<Time>,
+    /// Identifies this process in the timestamps of its replies.
     pub(crate) incarnation: u64,
-    /// Newest own reply that came back with an append of a leader that could vouch for its commit position.
+    /// Send time of the latest own reply that a leader echoed when it confirmed its commit index.
     pub(crate) echoed_at: Option<Time>,
-    /// Newest commit position that a leader told.
+    /// Highest commit index reported by a leader.
     pub(crate) leader_commit: Index,
-    /// Set while leadership is being handed over: proposals and the lease are over, and the member
-    /// steps down at this time at the latest, so that a late `TimeoutNow` can't meet a live lease.
+    /// Set during a leadership transfer: the member takes no proposals, has no lease, and steps
+    /// down at this time at the latest, so that a delayed `TimeoutNow` can't overlap with a lease.
     pub(crate) transfer_until: Option<Time>,
-    /// Set after the restart of a member that led: until then it asks to lead again without waiting
-    /// out an election timeout. The others grant that at once, since its lease is over.
-    pub(crate) resumes_until: Option<Time>,
+    /// Set after the restart of a leader: until then it starts elections without waiting for an
+    /// election timeout. The others can vote for it at once, since its own lease is over.
+    pub(crate) resume_until: Option<Time>,
     pub(crate) incoming: Option<(Snapshot, Vec<u8>)>,
     pub(crate) outbox: Vec<Envelope>,
     pub(crate) now: Time,
@@ -85,8 +86,8 @@
 }
 
 impl RaftMember {
-    /// A member that starts from what its disk holds. `seed` draws the election timeouts and marks the replies; each
-    /// start of a process needs another one.
+    /// Creates a member from its state on disk. `seed` randomizes election timeouts and identifies
+    /// the process; it must be different at each start.
     pub fn new(
         id: MemberId,
         config: Config,
@@ -111,12 +112,12 @@
             leader_since: Time::ZERO,
             election_at: now,
             heartbeat_at: Time::ZERO,
-            leader_heard_at: None,
+            leader_message_at: None,
             incarnation: seed,
             echoed_at: None,
             leader_commit: 0,
             transfer_until: None,
-            resumes_until: None,
+            resume_until: None,
             incoming: None,
             outbox: Vec::new(),
             now,
@@ -130,18 +131,18 @@
             snapshot,
         };
         replica.refresh_membership();
-        // A member that may have given its word to a leader just before the restart must not help
-        // elect another within that leader's lease.
-        replica.leader_heard_at = Some(now);
+        // Before the restart, this member may have acknowledged a leader whose lease is still
+        // running; it must not vote for another one until then.
+        replica.leader_message_at = Some(now);
         replica.reset_election_timer();
         if replica.hard_state.last_leader == Some(id) {
-            replica.resumes_until = Some(now + replica.config.election_timeout);
+            replica.resume_until = Some(now + replica.config.election_timeout);
             replica.election_at = now;
         }
         replica
     }
 
-    /// A new group's first state: all initial members start from this same snapshot.
+    /// Initial state of a new group, the same for all initial members.
     pub fn bootstrap_state(membership: Membership, data: Vec<u8>) -> RecoveredState {
         let meta = crate::log::SnapshotMeta { index: 1, term: 1, membership };
         RecoveredState {
@@ -171,27 +172,27 @@
         self.leader
     }
 
-    /// Membership in force here.
+    /// Current membership.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Last entry known to be on a quorum of disks.
+    /// Commit index.
     pub fn commit(&self) -> Index {
         self.commit
     }
 
-    /// Last entry handed out to be applied.
+    /// Index of the last entry passed to the driver for application.
     pub fn applied(&self) -> Index {
         self.applied
     }
 
-    /// Last entry in the log.
+    /// Index of the last entry in the log.
     pub fn last_index(&self) -> Index {
         self.log.last_index()
     }
 
-    /// Next moment at which [`RaftMember::tick`] has something to do.
+    /// Next time at which [`RaftMember::tick`] has work to do.
     pub fn next_wakeup(&self) -> Time {
         match self.role {
             Role::Leader => self.heartbeat_at,
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Entries after a position.
+    /// Entries after an index.
     pub fn entries_after(&self, index: Index) -> Vec<Entry> {
         self.log.range(index + 1, self.log.last_index())
     }
@@ -207,18 +208,18 @@
     /// Proposes a command.
     ///
     /// # Errors
-    /// [`ProposeError::NotLeader`] when this member does not lead or is handing over.
+    /// [`ProposeError::NotLeader`] when this member is not the leader or transfers leadership.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<Index, ProposeError> {
         if self.role != Role::Leader || self.transfer_until.is_some() {
             return Err(ProposeError::NotLeader(self.leader.filter(|id| *id != self.id)));
         }
-        Ok(self.append_own(Payload::Command(command)))
+        Ok(self.append_entry(Payload::Command(command)))
     }
 
     /// Proposes a membership change.
     ///
     /// # Errors
-    /// [`ProposeError`] says why not.
+    /// [`ProposeError`] with the reason.
     pub fn propose_change(&mut self, change: &MembershipChange) -> Result<Index, ProposeError> {
         if self.role != Role::Leader || self.transfer_until.is_some() {
             return Err(ProposeError::NotLeader(self.leader.filter(|id| *id != self.id)));
@@ -228,14 +229,14 @@
             return Err(ProposeError::ChangePending);
         }
         let next = self.membership.after_change(change).ok_or(ProposeError::BadChange)?;
-        let index = self.append_own(Payload::Membership(next));
+        let index = self.append_entry(Payload::Membership(next));
         self.refresh_membership();
         self.broadcast_append();
         Ok(index)
     }
 
-    /// Asks a voter that is up to date to take over; this member then takes no proposals until the
-    /// next election timeout. Returns whether somebody was asked.
+    /// Asks an up-to-date voter to take over leadership; this member takes no proposals until an
+    /// election timeout has passed. Returns whether a voter was asked.
     pub fn transfer_leadership(&mut self, now: Time) -> bool {
         self.now = now;
         if self.role != Role::Leader {
@@ -255,22 +256,22 @@
         true
     }
 
-    /// Takes a snapshot of the applied state into use and drops the entries that it covers, but
-    /// for a few. Returns it, for the driver to make durable.
+    /// Stores a snapshot of the applied state and removes entries before it, except for the
+    /// retained ones. Returns the snapshot for the driver to make durable.
     pub fn compact(&mut self, data: Vec<u8>) -> Snapshot {
         let index = self.applied;
         let term = self.log.term(index).unwrap_or(self.snapshot.meta.term);
         let membership = self.membership_at(index);
         let meta = crate::log::SnapshotMeta { index, term, membership };
         self.snapshot = Snapshot { meta, data: data.into() };
-        let keep_from = index.saturating_sub(self.config.retained_entries);
-        if keep_from >= self.log.first_index() {
-            self.log.compact(keep_from);
+        let retained_from = index.saturating_sub(self.config.retained_entries);
+        if retained_from >= self.log.first_index() {
+            self.log.compact(retained_from);
         }
         self.snapshot.clone()
     }
 
-    /// Work for the driver, or `None`.
+    /// Next batch of work for the driver.
     pub fn ready(&mut self) -> Option<Ready> {
         let mut ready = Ready::default();
         if self.hard_state != self.saved_hard_state {
@@ -289,15 +290,15 @@
             ready.restore = Some(self.snapshot.clone());
             self.applied = self.applied.max(self.snapshot.meta.index);
         }
-        let ready_to_apply = self.commit.min(self.persisted);
-        if ready_to_apply > self.applied {
-            ready.committed = self.log.range(self.applied + 1, ready_to_apply);
-            self.applied = ready_to_apply;
+        let apply_until = self.commit.min(self.persisted);
+        if apply_until > self.applied {
+            ready.committed = self.log.range(self.applied + 1, apply_until);
+            self.applied = apply_until;
         }
         (!ready.is_empty()).then_some(ready)
     }
 
-    /// Tells the replica that a batch is durable, sent and applied.
+    /// Reports that a batch is durable, sent and applied.
     pub fn advance(&mut self, ready: &Ready) {
         if let Some(snapshot) = &ready.snapshot {
             self.persisted = self.persisted.max(snapshot.meta.index);
@@ -311,7 +312,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock and runs due timers.
     pub fn tick(&mut self, now: Time) {
         self.now = now;
         match self.role {
@@ -320,13 +321,13 @@
         }
     }
 
-    /// Takes a message in.
+    /// Processes a received message.
     pub fn step(&mut self, now: Time, envelope: Envelope) {
         self.now = now;
         if envelope.to != self.id {
             return;
         }
-        if !self.admit_term(&envelope) {
+        if !self.check_term(&envelope) {
             return;
         }
         let Envelope { from, term, message, .. } = envelope;
@@ -360,8 +361,8 @@
         }
     }
 
-    /// Appends an entry of the leader's own.
-    pub(crate) fn append_own(&mut self, payload: Payload) -> Index {
+    /// Appends an entry as the leader.
+    pub(crate) fn append_entry(&mut self, payload: Payload) -> Index {
         let index = self.log.last_index() + 1;
         self.push_entry(Entry { index, term: self.hard_state.term, payload });
         index
@@ -373,7 +374,7 @@
     }
 
     pub(crate) fn truncate_log(&mut self, index: Index) {
-        debug_assert!(index > self.commit, "a committed entry must not be cut");
+        debug_assert!(index > self.commit, "a committed entry must not be removed");
         self.log.truncate(index);
         self.persisted = self.persisted.min(index - 1);
         if let Some(from) = self.unsaved_from {
@@ -401,7 +402,7 @@
         self.persisted
     }
 
-    /// The newest membership in the log counts, committed or not (thesis §4.1).
+    /// Uses the latest membership in the log, committed or not (thesis §4.1).
     pub(crate) fn refresh_membership(&mut self) {
         let (index, membership) = match self.log.newest_membership() {
             Some((index, membership)) if index > self.snapshot.meta.index => {
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,10 +1,10 @@
-//! Who takes part in the group.
+//! Members of a group.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Identity of a member's disk. A member whose disk is lost draws a new one.
+/// Identity of a member, bound to its disk: after the loss of a disk, a new identity is drawn.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,10 +16,10 @@
     }
 }
 
-/// What others need to know to reach a member.
+/// Name and address of a member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberInfo {
-    /// Declared name, the same before and after a disk was lost.
+    /// Declared name; stays the same after the loss of a disk.
     pub name: String,
     /// Internal address, `ip:port`.
     pub address: String,
@@ -28,13 +28,12 @@
 /// Voters and learners.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Members whose votes and acknowledgements count.
+    /// Members that vote and count for the quorum.
     pub voters: BTreeMap<MemberId, MemberInfo>,
-    /// Members that receive the log and do not count.
+    /// Members that receive the log but do not vote.
     pub learners: BTreeMap<MemberId, MemberInfo>,
-    /// Voters that the group is meant to have: as many as it had when all of them had answered for a
-    /// while. 0 where it is not known: in a group that has not settled yet, since others may be about to
-    /// join its founders, and in state that older versions wrote.
+    /// Intended number of voters: the number when all of them last responded for some time. 0 if
+    /// unknown: in a new group that more members may join, and in the state of older builds.
     #[serde(rename = "full_size", default, skip_serializing_if = "is_unknown")]
     pub target_size: usize,
 }
@@ -43,54 +42,54 @@
     *target_size == 0
 }
 
-/// How a member takes part.
+/// Status of a member in the group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipStatus {
-    /// It does not: it must ask to join.
+    /// Not a member.
     #[default]
     Outside,
-    /// It receives the log and does not count.
+    /// Receives the log but does not vote.
     Learner,
-    /// Its votes and acknowledgements count.
+    /// Votes and counts for the quorum.
     Voter,
 }
 
-/// One step from a membership to the next; only one is under way at a time (thesis §4.1).
+/// A membership change; only one can be in progress at a time (thesis §4.1).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
     /// Adds a learner.
     AddLearner(MemberId, MemberInfo),
     /// Turns a learner into a voter.
     Promote(MemberId),
-    /// Removes a voter or learner. The group is meant to have as many voters as before.
+    /// Removes a voter or learner. The intended number of voters stays.
     Remove(MemberId),
-    /// Takes the number of voters there are as the number that the group is meant to have.
+    /// Sets the intended number of voters to the current number.
     #[serde(rename = "Settle")]
     SetTargetSize,
 }
 
 impl Membership {
-    /// The founders of a group.
+    /// The membership of a new group.
     pub fn initial(voters: BTreeMap<MemberId, MemberInfo>) -> Self {
         Membership { voters, ..Membership::default() }
     }
 
-    /// Voters that the group is meant to have; as many as there are where that is not known.
+    /// Intended number of voters; the current number if unknown.
     pub fn target_size_or_current(&self) -> usize {
         if is_unknown(&self.target_size) { self.voters.len() } else { self.target_size }
     }
 
-    /// Smallest number of voters that any two decisions share.
+    /// Number of voters in a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether the member takes part at all.
+    /// Whether the member is a voter or learner.
     pub fn contains(&self, id: MemberId) -> bool {
         self.voters.contains_key(&id) || self.learners.contains_key(&id)
     }
 
-    /// How a member takes part.
+    /// Status of a member in the group.
     pub fn status(&self, id: MemberId) -> MembershipStatus {
         if self.voters.contains_key(&id) {
             MembershipStatus::Voter
@@ -101,18 +100,18 @@
         }
     }
 
-    /// All members but `own`.
+    /// All members except `own`.
     pub fn others(&self, own: MemberId) -> Vec<MemberId> {
         let all = self.voters.keys().chain(self.learners.keys());
         all.copied().filter(|id| *id != own).collect()
     }
 
-    /// What is known of a member.
+    /// Name and address of a member.
     pub fn info(&self, id: MemberId) -> Option<&MemberInfo> {
         self.voters.get(&id).or_else(|| self.learners.get(&id))
     }
 
-    /// The membership after a change, or `None` when the change makes no sense here.
+    /// The membership after a change; `None` if the change does not apply.
     pub fn after_change(&self, change: &MembershipChange) -> Option<Membership> {
         let mut next = self.clone();
         match change {
@@ -127,7 +126,7 @@
                 next.voters.insert(*id, info);
             }
             MembershipChange::Remove(id) => {
-                // Where it was not known before, the size counts from here on.
+                // An unknown size becomes known here.
                 next.target_size = self.target_size_or_current();
                 let was_learner = next.learners.remove(id).is_some();
                 let was_voter = next.voters.remove(id).is_some();
--- a/crates/consensus/src/memory_disk.rs
+++ b/crates/consensus/src/memory_disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that forgets what was not synced, for tests and the simulator.
+//! An in-memory disk for tests and the simulator, which can lose unsynced data.
 
 use crate::disk::{Disk, DiskError};
 use std::collections::BTreeMap;
@@ -9,17 +9,16 @@
     synced: usize,
 }
 
-/// Files in memory.
+/// In-memory files with crash and corruption operations.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk {
     files: BTreeMap<String, File>,
-    /// Number of syncs so far, for cost accounting.
+    /// Number of syncs.
     pub syncs: u64,
 }
 
 impl MemoryDisk {
-    /// What a machine finds after it stopped without warning: synced bytes, and of the unsynced
-    /// ones the first `torn` of each file.
+    /// Simulates a crash: keeps the synced bytes, and the first `torn` unsynced bytes of each file.
     pub fn crash(&mut self, torn: usize) {
         for file in self.files.values_mut() {
             let kept = (file.synced + torn).min(file.content.len());
@@ -29,7 +28,7 @@
         self.files.retain(|_, file| !file.content.is_empty());
     }
 
-    /// Loses the last bytes of each file though they were synced, as a disk that lies does.
+    /// Removes the last synced bytes of each file, like a disk that ignores syncs.
     pub fn lose_synced(&mut self, bytes: usize) {
         for file in self.files.values_mut() {
             file.content.truncate(file.content.len().saturating_sub(bytes).max(1));
@@ -37,7 +36,7 @@
         }
     }
 
-    /// Flips the bits of one byte of a file, if it is that long; returns whether it was.
+    /// Inverts one byte of a file; returns false if the file is shorter.
     pub fn corrupt_byte(&mut self, name: &str, position: usize) -> bool {
         let byte = self.files.get_mut(name).and_then(|file| file.content.get_mut(position));
         if let Some(byte) = byte {
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,32 +1,33 @@
-//! Messages between members.
+//! Messages between the members of a group.
 
 use crate::log::{Entry, Index, SnapshotMeta, Term};
 use crate::membership::MemberId;
 use serde::{Deserialize, Serialize};
 use topazmount_types::Time;
 
-/// A message with its sender and receiver. A receiver drops what is addressed to another identity:
-/// after a lost disk the address is the same and the member is not.
+/// A message with its sender and receiver. A member drops messages to another identity: after the
+/// loss of a disk, a new member can have the same address.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// Sender.
     pub from: MemberId,
     /// Receiver.
     pub to: MemberId,
-    /// Sender's term; for a pre-vote the term it would stand in.
+    /// Sender's term; in a pre-vote, the term of the proposed election.
     pub term: Term,
     /// Content.
     pub message: Message,
 }
 
-/// When a follower replied, by its own clock. A leader returns it with its next append, by which the follower knows how
-/// old that append is at most. The moment of arrival does not tell: appends wait in the sockets of a suspended machine.
+/// Time of a reply by the follower's clock. The leader echoes it in its next append, which gives
+/// the follower an upper bound of the age of that append. Arrival times give none: appends can wait
+/// in the socket buffers of a suspended machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplyTimestamp {
-    /// Process that last_reply: the clock of another one may differ.
+    /// Process that replied; clocks of different processes are not compared.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Its clock.
+    /// Time of the reply by that process's clock.
     #[serde(rename = "at")]
     pub sent_at: Time,
 }
@@ -34,85 +35,87 @@
 /// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether an election could be won, without disturbing anyone (thesis §9.6).
+    /// Asks whether an election could be won, without incrementing the term (thesis §9.6).
     PreVote {
-        /// Candidate's last entry.
+        /// Index of the candidate's last entry.
         last_index: Index,
-        /// Its term.
+        /// Term of that entry.
         last_term: Term,
     },
-    /// Answer to a pre-vote.
+    /// Reply to a pre-vote.
     PreVoteReply {
-        /// Whether a vote would be given.
+        /// Whether the sender would vote for the candidate.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
-        /// Candidate's last entry.
+        /// Index of the candidate's last entry.
         last_index: Index,
-        /// Its term.
+        /// Term of that entry.
         last_term: Term,
-        /// The old leader asked for this election, so its lease does not stand against it.
+        /// Whether the leader requested this election, which overrides its lease.
         transfer: bool,
     },
-    /// Answer to a vote request.
+    /// Reply to a vote request.
     VoteReply {
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
     /// Entries, or a heartbeat when there are none.
     Append {
-        /// Entry just before the first one sent.
+        /// Index of the entry before the first one sent.
         previous_index: Index,
-        /// Its term.
+        /// Term of that entry.
         previous_term: Term,
         /// Entries.
         entries: Vec<Entry>,
-        /// Leader's commit position.
+        /// Leader's commit index.
         commit: Index,
-        /// Leader's clock at sending, echoed in the reply to measure the lease from.
+        /// Send time by the leader's clock; echoed in the reply to compute the lease.
         sent_at: Time,
-        /// Newest reply of the receiver that the leader had; none where the leader can't vouch for its commit position.
+        /// Timestamp of the receiver's latest reply; `None` if the leader can't confirm its commit
+        /// index.
         #[serde(rename = "returned", default)]
         echoed: Option<ReplyTimestamp>,
     },
-    /// Answer to an append.
+    /// Reply to an append.
     AppendReply {
-        /// Whether the entry before the first one matched.
+        /// Whether the previous entry matched the receiver's log.
         accepted: bool,
-        /// If accepted, last entry known to match; else where the leader should try next.
+        /// If accepted, index of the last matching entry; otherwise the index after which the
+        /// leader should retry.
         index: Index,
-        /// Echo of the append's previous entry, by which the leader tells late rejections.
+        /// `previous_index` of the append, by which the leader detects outdated rejections.
         previous_index: Index,
-        /// Echo of the append's time.
+        /// `sent_at` of the append.
         sent_at: Time,
-        /// When this was sent; the first builds do not say it.
+        /// When this reply was sent; `None` from legacy builds.
         #[serde(rename = "mark", default)]
         timestamp: Option<ReplyTimestamp>,
     },
-    /// A piece of a snapshot.
+    /// A chunk of a snapshot.
     Snapshot {
-        /// Place of the snapshot.
+        /// Position of the snapshot in the log.
         meta: SnapshotMeta,
-        /// Position of the piece in the data, in bytes.
+        /// Offset of the chunk in the snapshot data, in bytes.
         offset: u64,
-        /// The piece.
+        /// Chunk data.
         #[serde(with = "serde_bytes")]
         chunk: Vec<u8>,
-        /// Whether it is the last.
+        /// Whether this is the last chunk.
         done: bool,
-        /// Leader's clock at sending.
+        /// Send time by the leader's clock.
         sent_at: Time,
     },
-    /// Answer to a piece.
+    /// Reply to a snapshot chunk.
     SnapshotReply {
-        /// Snapshot that it is about.
+        /// Index of the snapshot.
         index: Index,
         /// Bytes received so far.
         received: u64,
-        /// Echo of the message's time.
+        /// `sent_at` of the chunk.
         sent_at: Time,
     },
-    /// The leader asks the receiver to stand for election at once (thesis §3.10).
+    /// Tells the receiver to start an election immediately (thesis §3.10).
     TimeoutNow,
 }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,30 +1,29 @@
-//! What a leader knows of one follower.
+//! Replication progress of a follower, as tracked by the leader.
 
 use crate::log::Index;
 use crate::message::ReplyTimestamp;
 use topazmount_types::Time;
 
-/// A follower's place in the log.
+/// Replication progress of a follower.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
-    /// Last entry known to be durable there.
+    /// Index of the last entry known to be durable on the follower.
     pub matched: Index,
-    /// Next entry to send.
+    /// Index of the next entry to send.
     pub next: Index,
-    /// Whether it is not known where the follower's log parts from the leader's: one append at a
-    /// time is sent then, and none in advance of its answer.
+    /// Whether the last matching entry is still unknown; appends are then sent one at a time.
     pub is_probing: bool,
-    /// Newest leader time that the follower echoed.
+    /// Latest send time that the follower acknowledged.
     pub acknowledged_at: Option<Time>,
-    /// When the follower sent its newest reply, by its own clock.
+    /// Timestamp of the follower's latest reply, by its own clock.
     pub last_reply: Option<ReplyTimestamp>,
-    /// When this leader began to send to the follower.
-    pub since: Time,
-    /// Snapshot being sent: its place and the bytes that arrived.
+    /// When this leader started sending to the follower.
+    pub started_at: Time,
+    /// Snapshot transfer in progress.
     pub snapshot: Option<SnapshotProgress>,
 }
 
-/// A snapshot on its way to a follower.
+/// Transfer of a snapshot to a follower: its index, and the bytes received.
 #[derive(Clone, Debug)]
 pub(crate) struct SnapshotProgress {
     pub index: Index,
@@ -32,19 +31,19 @@
 }
 
 impl Progress {
-    pub(crate) fn new(next: Index, since: Time) -> Self {
+    pub(crate) fn new(next: Index, started_at: Time) -> Self {
         Progress {
             matched: 0,
             next,
             is_probing: true,
             acknowledged_at: None,
             last_reply: None,
-            since,
+            started_at,
             snapshot: None,
         }
     }
 
-    /// Takes an accepted append that reached up to `index`.
+    /// Records an accepted append up to `index`.
     pub(crate) fn accept(&mut self, index: Index) {
         self.matched = self.matched.max(index);
         self.next = if self.is_probing { self.matched + 1 } else { self.next.max(index + 1) };
@@ -53,11 +52,12 @@
         self.snapshot.take_if(|snapshot| snapshot.index <= matched);
     }
 
-    /// Takes a rejected append whose previous entry was `previous`; the follower asks to go on
-    /// after `hint`. Returns whether that says anything new: a late rejection does not.
+    /// Records the rejection of an append after `previous`; the follower asks to continue after
+    /// `hint`. Returns false for an outdated rejection.
     pub(crate) fn reject(&mut self, previous: Index, hint: Index) -> bool {
-        let is_late = previous <= self.matched || (self.is_probing && previous + 1 != self.next);
-        if is_late {
+        let is_outdated =
+            previous <= self.matched || (self.is_probing && previous + 1 != self.next);
+        if is_outdated {
             return false;
         }
         self.is_probing = true;
@@ -65,7 +65,7 @@
         true
     }
 
-    /// Notes that the follower answered something sent at `sent_at`.
+    /// Records a reply to a message sent at `sent_at`.
     pub(crate) fn acknowledge(&mut self, sent_at: Time) {
         self.acknowledged_at = self.acknowledged_at.max(Some(sent_at));
     }
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -1,4 +1,4 @@
-//! What a driver must do after it has fed a replica.
+//! Work that a member hands to its driver.
 
 use crate::log::{Entry, Index, Snapshot, Term};
 use crate::membership::MemberId;
@@ -8,34 +8,35 @@
 /// State that must be durable before any message that follows from it is sent (thesis §3.8).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// Latest term seen.
+    /// Current term.
     pub term: Term,
-    /// Vote given in it.
+    /// Candidate voted for in the current term.
     pub voted_for: Option<MemberId>,
-    /// Leader that this member followed last, in whatever term; itself if it led since. Absent in
-    /// state that older versions wrote.
+    /// Leader that this member last followed in any term, or itself if it led since. Absent in the
+    /// state of older builds.
     #[serde(default)]
     pub last_leader: Option<MemberId>,
 }
 
-/// One batch of work. The order is fixed: make `hard_state`, `snapshot` and `entries` durable,
+/// A batch of work. The order is fixed: make `hard_state`, `snapshot` and `entries` durable,
 /// then send `messages`, then apply `restore` and `committed`, then call
 /// [`crate::RaftMember::advance`].
 #[derive(Clone, Debug, Default)]
 pub struct Ready {
-    /// New term or vote.
+    /// Changed term, vote or leader.
     pub hard_state: Option<HardState>,
-    /// Snapshot received from the leader; replaces the whole log.
+    /// Snapshot received from the leader, which replaces the log.
     pub snapshot: Option<Snapshot>,
-    /// Entries to append; the first may lie before the end of the durable log, which is then cut.
+    /// Entries to append; if the first one is not after the end of the durable log, the log is
+    /// truncated there.
     pub entries: Vec<Entry>,
-    /// Messages to send after the state is durable.
+    /// Messages to send once the state is durable.
     pub messages: Vec<Envelope>,
     /// Snapshot to restore the state machine from.
     pub restore: Option<Snapshot>,
     /// Entries to apply, in order.
     pub committed: Vec<Entry>,
-    /// Last position of `entries`, if any.
+    /// Index of the last of `entries`.
     pub last_appended: Option<Index>,
 }
 
@@ -50,7 +51,7 @@
             && self.committed.is_empty()
     }
 
-    /// Whether something must be made durable.
+    /// Whether the batch has state to make durable.
     pub fn must_sync(&self) -> bool {
         self.hard_state.is_some() || self.snapshot.is_some() || !self.entries.is_empty()
     }
--- a/crates/consensus/src/record.rs
+++ b/crates/consensus/src/record.rs
@@ -1,47 +1,48 @@
-//! Records of a log file: `length: u32 LE | crc32: u32 LE | payload`.
+//! Records in a log file: `length: u32 LE | crc32: u32 LE | payload`.
 
 use crate::log::Entry;
 use crate::ready::HardState;
 use serde::{Deserialize, Serialize};
 
-/// Bytes before each payload.
-const HEADER: usize = 8;
+/// Bytes of the header before each payload.
+const HEADER_LENGTH: usize = 8;
 
-/// One record.
+/// A record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Record {
-    /// Term and vote; the last one counts.
+    /// Hard state; replaces earlier ones.
     HardState(HardState),
-    /// An entry; one at or before the end of the log cuts the log there first.
+    /// An entry; one at or before the end of the log truncates the log there.
     Entry(Entry),
 }
 
-/// How the reading of a file ended.
+/// State of a file's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Ending {
-    /// At the end of a whole record.
+    /// Ends with a complete record.
     Clean,
-    /// In a record that was being written when the machine stopped; bytes before it are good.
+    /// Ends with an incomplete write, which starts at this offset.
     Torn(usize),
-    /// Whole records follow a damaged one: durable data was lost.
+    /// A complete record follows a damaged one: durable data was lost.
     Corrupt,
 }
 
-/// Wraps a payload with its length and checksum.
+/// Prepends length and checksum to a payload.
 pub(crate) fn frame(payload: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEADER + payload.len());
+    let mut bytes = Vec::with_capacity(HEADER_LENGTH + payload.len());
     bytes.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
     bytes.extend_from_slice(payload);
     bytes
 }
 
-/// The payload at the start of `bytes` and the bytes it takes up, if it is whole and undamaged.
+/// The payload at the start of `bytes` and the length of its record, if the record is complete and
+/// undamaged.
 pub(crate) fn unframe(bytes: &[u8]) -> Option<(&[u8], usize)> {
     let length = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
-    let checksum = u32::from_le_bytes(bytes.get(4..HEADER)?.try_into().ok()?);
-    let payload = bytes.get(HEADER..HEADER.checked_add(length)?)?;
-    (crc32fast::hash(payload) == checksum).then_some((payload, HEADER + length))
+    let checksum = u32::from_le_bytes(bytes.get(4..HEADER_LENGTH)?.try_into().ok()?);
+    let payload = bytes.get(HEADER_LENGTH..HEADER_LENGTH.checked_add(length)?)?;
+    (crc32fast::hash(payload) == checksum).then_some((payload, HEADER_LENGTH + length))
 }
 
 pub(crate) fn encode(record: &Record) -> Vec<u8> {
@@ -56,7 +57,7 @@
     let mut position = 0;
     while position < bytes.len() {
         let Some((record, length)) = decode_one(&bytes[position..]) else {
-            return (records, ending_of_damage(bytes, position));
+            return (records, classify_damage(bytes, position));
         };
         records.push(record);
         position += length;
@@ -70,12 +71,12 @@
     Some((record, length))
 }
 
-/// A damaged record with a whole one somewhere after it is not a torn write: writes end in order.
-fn ending_of_damage(bytes: &[u8], position: usize) -> Ending {
-    let later = position + 1..bytes.len().saturating_sub(HEADER);
+/// Tells a torn write from corruption: a torn write has no complete record after it.
+fn classify_damage(bytes: &[u8], position: usize) -> Ending {
+    let later = position + 1..bytes.len().saturating_sub(HEADER_LENGTH);
     for start in later {
-        let is_whole = decode_one(&bytes[start..]).is_some();
-        if is_whole {
+        let is_complete = decode_one(&bytes[start..]).is_some();
+        if is_complete {
             return Ending::Corrupt;
         }
     }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: appends, commitment and snapshots.
+//! Log replication, commitment and snapshot transfer.
 
 use crate::log::{Entry, Index, Payload, Snapshot, SnapshotMeta, Term};
 use crate::member::{RaftMember, Role};
@@ -8,15 +8,15 @@
 use topazmount_types::Time;
 
 impl RaftMember {
-    /// Sends every follower what it lacks; a heartbeat where it lacks nothing.
+    /// Sends every follower its missing entries, or a heartbeat if it has all.
     pub fn broadcast_append(&mut self) {
         for id in self.membership.others(self.id) {
             self.send_append(id);
         }
     }
 
-    /// Sends proposals that followers have not been sent yet. Called once per batch, so that many
-    /// proposals share one message and one sync.
+    /// Sends new proposals to followers. Called once per batch, so that proposals share a message
+    /// and a sync.
     pub fn flush_proposals(&mut self) {
         if self.role != Role::Leader {
             return;
@@ -33,7 +33,7 @@
     }
 
     fn send_append(&mut self, to: MemberId) {
-        let can_vouch = self.can_vouch();
+        let can_confirm_commit = self.can_confirm_commit();
         let Some(progress) = self.progress.get(&to) else {
             return;
         };
@@ -54,7 +54,7 @@
             entries,
             commit: self.commit,
             sent_at: self.now,
-            echoed: progress.last_reply.filter(|_| can_vouch),
+            echoed: progress.last_reply.filter(|_| can_confirm_commit),
         };
         self.send(to, message);
         if let Some(progress) = self.progress.get_mut(&to)
@@ -73,19 +73,19 @@
         sent_at: Time,
     ) {
         let (previous_index, previous_term) = previous;
-        let covered = previous_index < self.log.first_index() - 1;
-        let matches = covered || self.log.term(previous_index) == Some(previous_term);
+        let is_compacted = previous_index < self.log.first_index() - 1;
+        let matches = is_compacted || self.log.term(previous_index) == Some(previous_term);
         if !matches {
             let index = self.log.last_index().min(previous_index.saturating_sub(1));
             let hint = index.max(self.commit);
             self.reply(from, false, hint, previous_index, sent_at);
             return;
         }
-        let last_new = previous_index + entries.len() as u64;
+        let last_matching = previous_index + entries.len() as u64;
         self.append_entries(entries);
-        // Only what the message vouches for may be committed, never an older tail (thesis §3.5).
-        self.commit = self.commit.max(commit.min(last_new));
-        let index = last_new.max(self.commit);
+        // Only entries up to the last one in the message are known to match (thesis §3.5).
+        self.commit = self.commit.max(commit.min(last_matching));
+        let index = last_matching.max(self.commit);
         self.accept(from, index, sent_at);
     }
 
@@ -93,7 +93,7 @@
         self.reply(from, true, index, index, sent_at);
     }
 
-    /// Answers an append.
+    /// Replies to an append.
     pub(crate) fn reply(
         &mut self,
         to: MemberId,
@@ -125,7 +125,8 @@
         }
     }
 
-    /// Takes the answer to an append; `rejected` is its previous entry when it did not match.
+    /// Processes the reply to an append; `rejected` is its previous index if that entry did not
+    /// match.
     pub(crate) fn on_append_reply(
         &mut self,
         from: MemberId,
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Commits what a quorum holds, if it is of the leader's own term (thesis §3.6.2).
+    /// Commits entries of the leader's own term that a quorum has stored (thesis §3.6.2).
     pub(crate) fn advance_commit(&mut self) {
         let mut matched: Vec<Index> = self
             .membership
@@ -174,15 +175,15 @@
         let Some(&index) = matched.get(self.membership.quorum() - 1) else {
             return;
         };
-        let own_term = self.log.term(index) == Some(self.hard_state.term);
-        if index > self.commit && own_term {
+        let is_own_term = self.log.term(index) == Some(self.hard_state.term);
+        if index > self.commit && is_own_term {
             self.commit = index;
-            self.leave_if_removed();
+            self.step_down_if_removed();
         }
     }
 
-    /// A leader that is no longer a voter steps down once that is committed (thesis §4.2.2).
-    fn leave_if_removed(&mut self) {
+    /// Steps down as leader once its own removal is committed (thesis §4.2.2).
+    fn step_down_if_removed(&mut self) {
         let removed = !self.membership.voters.contains_key(&self.id);
         if removed && self.membership_index <= self.commit {
             self.broadcast_append();
@@ -215,17 +216,17 @@
         &mut self,
         from: MemberId,
         meta: SnapshotMeta,
-        piece: (u64, Vec<u8>, bool),
+        part: (u64, Vec<u8>, bool),
         sent_at: Time,
     ) {
-        let (offset, chunk, done) = piece;
+        let (offset, chunk, done) = part;
         let index = meta.index;
         if index <= self.commit {
             self.accept(from, self.commit, sent_at);
             return;
         }
         if self.log.term(index) == Some(meta.term) {
-            // A late snapshot must not cut entries after it that were acknowledged (thesis §5.1).
+            // A delayed snapshot must not remove acknowledged entries after it (thesis §5.1).
             self.commit = index;
             self.accept(from, index, sent_at);
             return;
@@ -240,7 +241,7 @@
         self.send(from, Message::SnapshotReply { index, received, sent_at });
     }
 
-    /// Adds a piece if it continues what is here; returns the bytes received so far.
+    /// Appends a chunk if it continues the received data; returns the bytes received so far.
     fn collect_chunk(&mut self, meta: &SnapshotMeta, offset: u64, chunk: &[u8]) -> u64 {
         let is_same = self.incoming.as_ref().is_some_and(|(partial, _)| partial.meta == *meta);
         if !is_same {
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Whether an entry is a command, for drivers that count.
+    /// Whether an entry is a command.
     pub fn is_command(entry: &Entry) -> bool {
         matches!(entry.payload, Payload::Command(_))
     }
--- a/crates/consensus/src/wal.rs
+++ b/crates/consensus/src/wal.rs
@@ -1,8 +1,8 @@
-//! The durable log: segments of checksummed records, and two snapshots.
+//! Write-ahead log: segments of checksummed records, and the latest two snapshots.
 //!
-//! A segment begins at each snapshot. The newest two snapshots and every segment since the older
-//! one are kept, so that a damaged newest snapshot falls back to the one before it without losing
-//! an entry. Files: `snapshot-<generation>` and `log-<generation>`, generations in hexadecimal.
+//! A segment starts at each snapshot. The latest two snapshots and all segments since the older one
+//! are kept, so that recovery can fall back to the older snapshot without losing entries. Files:
+//! `snapshot-<generation>` and `log-<generation>`, generations in hexadecimal.
 
 use crate::disk::{Disk, DiskError};
 use crate::log::{Entry, Log, Snapshot};
@@ -15,29 +15,29 @@
 /// Snapshots kept.
 const KEPT_SNAPSHOTS: usize = 2;
 
-/// What a disk holds of the replicated log.
+/// State read from disk.
 #[derive(Clone, Debug, Default)]
 pub struct RecoveredState {
     /// Term and vote.
     pub hard_state: HardState,
-    /// Newest whole snapshot.
+    /// Latest undamaged snapshot.
     pub snapshot: Snapshot,
     /// Entries after it.
     pub log: Log,
 }
 
-/// Why a disk's state can't be used.
+/// Why the state on disk can't be used.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum WalError {
     /// The disk failed.
     #[error(transparent)]
     Disk(#[from] DiskError),
-    /// Durable data is damaged. The member must be given an empty folder and join anew.
+    /// Durable data is damaged. The member must rejoin with an empty data folder.
     #[error("durable state is damaged: {0}")]
     Corrupt(String),
 }
 
-/// The durable log over a disk.
+/// Write-ahead log on a disk.
 #[derive(Clone)]
 pub struct Wal<D> {
     disk: D,
@@ -46,8 +46,8 @@
 }
 
 impl<D: Disk> Wal<D> {
-    /// Opens the log and reads everything. A torn tail is cut off; the result of an empty folder is
-    /// the default.
+    /// Opens the log and reads its state. An incomplete last write is truncated; an empty disk
+    /// gives the default state.
     ///
     /// # Errors
     /// [`WalError::Corrupt`] when acknowledged entries may be lost.
@@ -65,13 +65,13 @@
             let records = read_segment(&mut disk, *generation, is_last)?;
             replay(records, &mut hard_state, &mut entries);
         }
-        let log = join(&snapshot, entries)?;
+        let log = build_log(&snapshot, entries)?;
         let newest = snapshot_generations.last().copied().unwrap_or(0);
         let generation = needed.last().copied().unwrap_or(base).max(newest);
         let mut wal = Wal { disk, generation, hard_state };
         let recovered = RecoveredState { hard_state, snapshot, log };
         if generation != base {
-            // Makes a fallback, or an interrupted change of segment, whole again.
+            // Completes an interrupted segment change, or replaces a damaged snapshot.
             wal.write_generation(&recovered.snapshot, &all_entries(&recovered.log))?;
         }
         Ok((wal, recovered))
@@ -82,12 +82,12 @@
         &self.disk
     }
 
-    /// The disk, for files beside the log.
+    /// The disk, for other files than the log's.
     pub fn disk_mut(&mut self) -> &mut D {
         &mut self.disk
     }
 
-    /// Makes a new group's or a learner's first state durable.
+    /// Writes the initial state of a new group or learner.
     ///
     /// # Errors
     /// Any failure of the disk.
@@ -96,7 +96,7 @@
         self.write_generation(&recovered.snapshot, &all_entries(&recovered.log))
     }
 
-    /// Makes a batch durable with one sync.
+    /// Makes a batch durable with a single sync.
     ///
     /// # Errors
     /// Any failure of the disk; the member must then stop.
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    /// Makes a snapshot of the own state durable and starts a segment with the entries after it.
+    /// Writes a snapshot and starts a segment with the entries after it.
     ///
     /// # Errors
     /// Any failure of the disk.
@@ -131,8 +131,8 @@
         self.write_generation(snapshot, after)
     }
 
-    /// Order matters: the segment is durable before the snapshot that makes recovery read it, and
-    /// old files go only after both are.
+    /// Writes the segment before the snapshot that refers to it, and removes old files only after
+    /// both are durable.
     fn write_generation(&mut self, snapshot: &Snapshot, after: &[Entry]) -> Result<(), WalError> {
         let generation = self.generation + 1;
         let mut segment = encode(&Record::HardState(self.hard_state));
@@ -149,15 +149,15 @@
     fn remove_old(&mut self) -> Result<(), WalError> {
         let names = self.disk.list()?;
         let snapshots = generations(&names, SNAPSHOT_PREFIX);
-        let kept = snapshots.len().saturating_sub(KEPT_SNAPSHOTS);
-        let Some(&oldest) = snapshots.get(kept) else {
+        let first_kept = snapshots.len().saturating_sub(KEPT_SNAPSHOTS);
+        let Some(&oldest) = snapshots.get(first_kept) else {
             return Ok(());
         };
-        let old = |generation: &u64| *generation < oldest;
-        for generation in snapshots.iter().copied().filter(old) {
+        let is_old = |generation: &u64| *generation < oldest;
+        for generation in snapshots.iter().copied().filter(is_old) {
             self.disk.remove(&snapshot_name(generation))?;
         }
-        for generation in generations(&names, LOG_PREFIX).into_iter().filter(|g| old(g)) {
+        for generation in generations(&names, LOG_PREFIX).into_iter().filter(|g| is_old(g)) {
             self.disk.remove(&log_name(generation))?;
         }
         Ok(())
@@ -193,7 +193,7 @@
     if found.is_empty() {
         return Ok((0, Snapshot::default()));
     }
-    Err(WalError::Corrupt("no snapshot is whole".to_owned()))
+    Err(WalError::Corrupt("all snapshots are damaged".to_owned()))
 }
 
 fn read_segment<D: Disk>(
@@ -217,16 +217,16 @@
         match record {
             Record::HardState(newer) => *hard_state = newer,
             Record::Entry(entry) => {
-                let cut = entries.partition_point(|earlier| earlier.index < entry.index);
-                entries.truncate(cut);
+                let kept = entries.partition_point(|earlier| earlier.index < entry.index);
+                entries.truncate(kept);
                 entries.push(entry);
             }
         }
     }
 }
 
-/// Entries after the snapshot, which must follow it and one another without a gap.
-fn join(snapshot: &Snapshot, entries: Vec<Entry>) -> Result<Log, WalError> {
+/// Builds the log of the entries after the snapshot, which must have no gap.
+fn build_log(snapshot: &Snapshot, entries: Vec<Entry>) -> Result<Log, WalError> {
     let index = snapshot.meta.index;
     let after: Vec<Entry> = entries.into_iter().filter(|entry| entry.index > index).collect();
     for (expected, entry) in (index + 1..).zip(&after) {
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Several members joined by an in-memory network that tests may cut.
+//! Members connected by an in-memory network that tests can partition.
 
 #![allow(dead_code)]
 
@@ -10,8 +10,8 @@
 };
 use topazmount_types::Time;
 
-/// Longest time that a test waits, on the virtual clock.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of waits in tests, in virtual time.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const TICK: Duration = Duration::from_millis(10);
 
 /// A member with its disk.
@@ -19,7 +19,7 @@
 pub struct Peer {
     pub replica: RaftMember,
     pub wal: Wal<MemoryDisk>,
-    /// Commands that were applied, with their places.
+    /// Applied commands by log index.
     pub applied: BTreeMap<Index, Vec<u8>>,
 }
 
@@ -36,7 +36,7 @@
         peer
     }
 
-    /// Does the driver's work; gives the messages to send.
+    /// Processes all ready batches as a driver; returns the messages to send.
     pub fn drain(&mut self) -> Vec<Envelope> {
         let mut messages = Vec::new();
         while let Some(ready) = self.replica.ready() {
@@ -55,7 +55,7 @@
         messages
     }
 
-    /// Takes a snapshot of what was applied.
+    /// Takes a snapshot of the applied state and compacts the log.
     pub fn compact(&mut self) {
         let applied = self.replica.applied();
         let snapshot = self.replica.compact(encode(&self.applied));
@@ -76,18 +76,18 @@
     MemberInfo { name: format!("m{id}"), address: format!("10.0.0.{id}:1") }
 }
 
-/// First state of a group of these voters.
+/// Initial state of a group of these voters.
 pub fn founding(voters: &[u64]) -> RecoveredState {
     let voters = voters.iter().map(|id| (MemberId(*id), info(*id))).collect();
     let membership = Membership::initial(voters);
     RaftMember::bootstrap_state(membership, Vec::new())
 }
 
-/// Members, the messages between them, and what is cut.
+/// Members, the messages in flight, and partitioned links.
 pub struct Network {
     pub now: Time,
     pub peers: BTreeMap<u64, Peer>,
-    pub cut: BTreeSet<(u64, u64)>,
+    pub partitioned: BTreeSet<(u64, u64)>,
     messages: Vec<Envelope>,
     leaders: BTreeMap<Term, MemberId>,
 }
@@ -100,29 +100,29 @@
         Network {
             now,
             peers: ids.iter().map(open).collect(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             messages: Vec::new(),
             leaders: BTreeMap::new(),
         }
     }
 
-    /// Cuts a member off in both directions.
+    /// Partitions a member from all others in both directions.
     pub fn isolate(&mut self, id: u64) {
         for other in self.peers.keys().filter(|other| **other != id) {
-            self.cut.insert((id, *other));
-            self.cut.insert((*other, id));
+            self.partitioned.insert((id, *other));
+            self.partitioned.insert((*other, id));
         }
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.partitioned.clear();
     }
 
-    /// Lets one tick of time pass and delivers what was sent before.
+    /// Delivers the messages in flight and advances time by a tick.
     pub fn tick(&mut self) {
         self.now = self.now + TICK;
         for envelope in std::mem::take(&mut self.messages) {
-            if self.cut.contains(&(envelope.from.0, envelope.to.0)) {
+            if self.partitioned.contains(&(envelope.from.0, envelope.to.0)) {
                 continue;
             }
             if let Some(peer) = self.peers.get_mut(&envelope.to.0) {
@@ -138,7 +138,8 @@
         self.check();
     }
 
-    /// Election safety (thesis 3.6): one leader a term. Lease: one holder at a time.
+    /// Checks election safety (thesis §3.6), one leader per term, and that at most one member has a
+    /// lease.
     fn check(&mut self) {
         for peer in self.peers.values() {
             if peer.replica.role() == Role::Leader {
@@ -147,18 +148,18 @@
                 assert_eq!(known, id, "two leaders in term {}", peer.replica.term());
             }
         }
-        let holders = self.peers.values().filter(|peer| peer.replica.has_lease(self.now));
-        assert!(holders.count() <= 1, "two members hold the lease");
+        let leaders = self.peers.values().filter(|peer| peer.replica.has_lease(self.now));
+        assert!(leaders.count() <= 1, "two members hold the lease");
     }
 
-    /// A read that is answered between a message and the work that it makes: who may answer it by its
-    /// lease has applied all that anybody applied, and so all that was acknowledged.
+    /// Checks reads between the receipt of messages and the application of entries: a member that
+    /// can serve reads has applied all entries that any member has applied.
     fn check_reads(&self) {
         let newest = self.peers.values().filter_map(|peer| peer.applied.keys().next_back()).max();
-        let holders = self.peers.values().filter(|peer| peer.replica.can_serve_reads(self.now));
-        for holder in holders {
-            let own = holder.applied.keys().next_back();
-            assert!(own >= newest, "{:?} reads {own:?} of {newest:?}", holder.replica.id());
+        let leaders = self.peers.values().filter(|peer| peer.replica.can_serve_reads(self.now));
+        for leader in leaders {
+            let own = leader.applied.keys().next_back();
+            assert!(own >= newest, "{:?} reads {own:?} of {newest:?}", leader.replica.id());
         }
     }
 
@@ -169,18 +170,18 @@
         }
     }
 
-    /// Runs until something holds.
+    /// Runs until a condition holds.
     pub fn until(&mut self, what: &str, holds: impl Fn(&Network) -> bool) {
-        let limit = self.now + PATIENCE;
+        let limit = self.now + WAIT_TIMEOUT;
         while !holds(self) {
-            assert!(self.now < limit, "never came about: {what}");
+            assert!(self.now < limit, "timed out waiting for: {what}");
             self.tick();
         }
     }
 
     pub fn leader(&self) -> Option<u64> {
-        let mut holders = self.peers.iter().filter(|(_, peer)| peer.replica.has_lease(self.now));
-        holders.next().map(|(id, _)| *id)
+        let mut leaders = self.peers.iter().filter(|(_, peer)| peer.replica.has_lease(self.now));
+        leaders.next().map(|(id, _)| *id)
     }
 
     pub fn elect(&mut self) -> u64 {
@@ -192,7 +193,7 @@
         self.peers.get_mut(&id).unwrap().replica.propose(command.to_vec()).unwrap()
     }
 
-    /// Proposes at the leader and waits until all of `ids` applied it.
+    /// Proposes a command and waits until all of `ids` have applied it.
     pub fn commit(&mut self, command: &[u8], ids: &[u64]) -> Index {
         let leader = self.elect();
         let index = self.propose(leader, command);
@@ -202,7 +203,7 @@
         index
     }
 
-    /// Kills a member; what it had not synced is lost but for `torn` bytes. Starts it again.
+    /// Crashes and restarts a member; unsynced data is lost, except for `torn` bytes.
     pub fn restart(&mut self, id: u64, torn: usize) {
         let peer = self.peers.remove(&id).unwrap();
         let mut disk = peer.wal.disk().clone();
--- a/crates/consensus/tests/explorer.rs
+++ b/crates/consensus/tests/explorer.rs
@@ -1,8 +1,5 @@
-//! Every order of deliveries, losses, timeouts, proposals and crashes of three members, up to a
-//! stated number of steps.
-//!
-//! Two states count as equal when roles, terms, votes, logs, commit positions, messages under way
-//! and what is left of each budget are equal; timers are left out of the comparison.
+//! Exhaustive exploration of deliveries, losses, timeouts, proposals and crashes of three members,
+//! up to a fixed depth. Safety is checked in every state.
 
 mod common;
 
@@ -12,12 +9,12 @@
 use topazmount_consensus::{Entry, Envelope, Index, MemberId, MemoryDisk, Role, Term};
 use topazmount_types::{Digest, Time};
 
-/// Steps of an exploration from each start.
+/// Steps from each initial state.
 const DEPTH: usize = 6;
-/// What may happen at most so often in one run.
+/// Maximum number of each event on a path.
 const BUDGET: Budget = Budget { losses: 1, timeouts: 2, proposals: 1, crashes: 1 };
-/// Fewest distinct states that must be reached, so that a change of the bounds is noticed.
-const LEAST_STATES: usize = 4_000;
+/// Minimum number of distinct states, to detect a reduced exploration.
+const MIN_STATES: usize = 4_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Budget {
@@ -47,7 +44,7 @@
 }
 
 impl State {
-    fn first() -> State {
+    fn initial() -> State {
         let now = Time::from_secs(1);
         let first = founding(&[1, 2, 3]);
         let open = |id| Peer::open(id, MemoryDisk::default(), Some(&first), now);
@@ -130,7 +127,7 @@
         if replica.role() == Role::Leader {
             let known = *self.leaders.entry(replica.term()).or_insert(replica.id());
             assert_eq!(known, replica.id(), "election safety: term {}", replica.term());
-            // Leader completeness: a new leader has what was committed before its term.
+            // Leader completeness: a new leader has all entries committed in earlier terms.
             for entry in self.committed.values().filter(|entry| entry.term < replica.term()) {
                 let has = replica.entries_after(1).iter().any(|own| own == entry);
                 assert!(has, "leader completeness: entry {}", entry.index);
@@ -165,14 +162,14 @@
     }
 }
 
-/// Before any election.
-fn at_rest() -> State {
-    State::first()
+/// Before the first election.
+fn before_election() -> State {
+    State::initial()
 }
 
-/// Somebody stands for election; its requests are under way.
-fn in_election() -> State {
-    let mut state = State::first();
+/// During an election: the vote requests are in flight.
+fn during_election() -> State {
+    let mut state = State::initial();
     state.apply(Step::TimeOut(0));
     while state.messages.iter().any(|envelope| envelope.to == MemberId(1))
         || state.messages.len() > 2
@@ -183,9 +180,9 @@
     state
 }
 
-/// The first member leads, and an entry of it is under way.
-fn with_entry_under_way() -> State {
-    let mut state = State::first();
+/// The first member is the leader, and a proposal is in flight.
+fn with_proposal_in_flight() -> State {
+    let mut state = State::initial();
     state.apply(Step::TimeOut(0));
     while !state.messages.is_empty() {
         state.apply(Step::Deliver(0));
@@ -197,12 +194,12 @@
 }
 
 #[rstest]
-#[case::at_rest(at_rest())]
-#[case::in_election(in_election())]
-#[case::with_entry_under_way(with_entry_under_way())]
-fn no_order_of_events_breaks_safety(#[case] first: State) {
+#[case::before_election(before_election())]
+#[case::during_election(during_election())]
+#[case::with_proposal_in_flight(with_proposal_in_flight())]
+fn no_order_of_events_violates_safety(#[case] initial: State) {
     let mut seen = HashSet::new();
-    let mut level = vec![first];
+    let mut level = vec![initial];
     for _ in 0..DEPTH {
         let mut next = Vec::new();
         for state in &level {
@@ -217,5 +214,5 @@
         level = next;
     }
     println!("{} distinct states in {DEPTH} steps", seen.len());
-    assert!(seen.len() >= LEAST_STATES, "only {} states were reached", seen.len());
+    assert!(seen.len() >= MIN_STATES, "only {} states were reached", seen.len());
 }
--- a/crates/consensus/tests/group.rs
+++ b/crates/consensus/tests/group.rs
@@ -1,4 +1,4 @@
-//! Elections, replication, leases, membership and recovery of a group in memory.
+//! Elections, replication, leases, membership and recovery of an in-memory group.
 
 mod common;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_minority_commits_nothing_and_gives_up_its_lease() {
+fn a_leader_without_quorum_commits_nothing_and_loses_its_lease() {
     let mut network = Network::new(&[1, 2, 3]);
     let old = network.elect();
     network.isolate(old);
@@ -39,11 +39,9 @@
     assert_eq!(network.peers[&old].applied, network.peers[&others[0]].applied);
 }
 
-/// From a soak of real processes (seed 359): a leader ended right after it had acknowledged a change. The
-/// next one learned in one batch that the change was committed and that it may answer reads, and answered
-/// one before it had applied the change.
+/// A new leader must apply the entries acknowledged by its predecessor before it serves reads.
 #[test]
-fn a_new_leader_reads_nothing_older_than_the_last_one_acknowledged() {
+fn a_new_leader_serves_no_stale_reads() {
     let mut network = Network::new(&[1, 2, 3, 4, 5]);
     let old = network.elect();
     let index = network.propose(old, b"acknowledged");
@@ -51,14 +49,14 @@
         network.peers[&old].applied.contains_key(&index)
     });
     network.isolate(old);
-    // Each tick checks what members would read.
+    // Each tick checks the reads of all members.
     network.until("another leader", |network| network.leader().is_some_and(|id| id != old));
     let next = network.leader().unwrap();
     assert!(network.peers[&next].applied.contains_key(&index));
 }
 
 #[test]
-fn a_member_that_was_cut_off_does_not_disturb_the_leader() {
+fn a_reconnected_member_does_not_disturb_the_leader() {
     let mut network = Network::new(&[1, 2, 3]);
     let leader = network.elect();
     let term = network.peers[&leader].replica.term();
@@ -90,7 +88,7 @@
 }
 
 #[test]
-fn a_new_disk_joins_as_a_learner_and_the_old_identity_goes() {
+fn a_new_disk_joins_as_a_learner_and_the_old_identity_is_removed() {
     let mut network = Network::new(&[1, 2, 3]);
     network.commit(b"before", &[1, 2, 3]);
     let leader = network.elect();
@@ -137,7 +135,7 @@
 }
 
 #[test]
-fn leadership_passes_on_without_a_gap_of_an_election() {
+fn a_leadership_transfer_needs_no_election_timeout() {
     let mut network = Network::new(&[1, 2, 3]);
     network.commit(b"x", &[1, 2, 3]);
     let old = network.elect();
@@ -153,7 +151,7 @@
 #[case(0)]
 #[case(7)]
 #[case(60)]
-fn all_members_restart_and_nothing_acknowledged_is_lost(#[case] torn: usize) {
+fn a_restart_of_all_members_loses_no_acknowledged_entry(#[case] torn: usize) {
     let mut network = Network::new(&[1, 2, 3]);
     let mut indices = Vec::new();
     for number in 0..50u32 {
@@ -169,14 +167,14 @@
     }
 }
 
-/// Time within which the member that led before leads again when all have restarted.
-const RESUMED: Duration = Duration::from_millis(250);
+/// Maximum time until the previous leader leads again after a restart of all members.
+const MAX_RESUME_TIME: Duration = Duration::from_millis(250);
 
 #[rstest]
 #[case(&[1, 2, 3], 0)]
 #[case(&[1, 2, 3, 4, 5], 0)]
 #[case(&[1, 2, 3, 4, 5], 2)]
-fn after_a_restart_of_all_the_leader_resumes_at_once(#[case] ids: &[u64], #[case] absent: usize) {
+fn the_leader_resumes_after_a_restart_of_all_members(#[case] ids: &[u64], #[case] absent: usize) {
     let mut network = Network::new(ids);
     network.commit(b"before", ids);
     let leader = network.elect();
@@ -188,11 +186,11 @@
     network.until("a leader", |network| network.leader().is_some());
     assert_eq!(network.leader(), Some(leader));
     let took = network.now.since(began);
-    assert!(took < RESUMED, "took {took:?}");
+    assert!(took < MAX_RESUME_TIME, "took {took:?}");
 }
 
 #[test]
-fn a_restart_of_all_but_the_leader_shortens_no_lease() {
+fn a_restart_of_all_followers_does_not_end_the_lease() {
     let mut network = Network::new(&[1, 2, 3, 4, 5]);
     network.commit(b"before", &[1, 2, 3, 4, 5]);
     let leader = network.elect();
@@ -206,26 +204,26 @@
     assert_eq!(network.peers[&leader].replica.term(), term);
 }
 
-/// Random restarts, cuts of one way or both, and proposals. The network checks in each tick that no two members
-/// hold the lease and that no term has two leaders; what was applied is the same everywhere.
+/// Random restarts, one-way and two-way partitions, and proposals. Each tick checks leases and
+/// leaders; at the end, all members have applied the same entries.
 #[test]
-fn no_schedule_of_restarts_and_cuts_makes_two_holders() {
+fn restarts_and_partitions_never_give_two_leases() {
     const IDS: [u64; 5] = [1, 2, 3, 4, 5];
     for seed in 0..150 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut network = Network::new(&IDS);
         network.commit(b"first", &IDS);
         for step in 0..120u32 {
-            let one = IDS[rng.random_range(0..IDS.len())];
+            let member = IDS[rng.random_range(0..IDS.len())];
             let other = IDS[rng.random_range(0..IDS.len())];
             match rng.random_range(0..10) {
-                0..3 => network.restart(one, rng.random_range(0..40)),
-                3 if one != other => {
-                    network.cut.insert((one, other));
+                0..3 => network.restart(member, rng.random_range(0..40)),
+                3 if member != other => {
+                    network.partitioned.insert((member, other));
                 }
-                4..7 if one != other => {
-                    network.cut.insert((one, other));
-                    network.cut.insert((other, one));
+                4..7 if member != other => {
+                    network.partitioned.insert((member, other));
+                    network.partitioned.insert((other, member));
                 }
                 7 => network.heal(),
                 _ => {
--- a/crates/consensus/tests/wal.rs
+++ b/crates/consensus/tests/wal.rs
@@ -1,4 +1,4 @@
-//! The durable log against torn, damaged and missing files.
+//! Recovery of the write-ahead log from torn, damaged and missing files.
 
 use rstest::rstest;
 use topazmount_consensus::{
@@ -18,8 +18,8 @@
     }
 }
 
-/// A log whose snapshot is at 1, with entries 2 to 10 in three syncs.
-fn written() -> Wal<MemoryDisk> {
+/// A log with a snapshot at index 1, and entries 2 to 10 in three syncs.
+fn wal_with_entries() -> Wal<MemoryDisk> {
     let (mut wal, _) = Wal::open(MemoryDisk::default()).unwrap();
     wal.initialize(&RaftMember::bootstrap_state(Membership::default(), b"first".to_vec())).unwrap();
     for entries in [2..=4, 5..=7, 8..=10] {
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn reads_back_what_was_synced() {
-    let (_, recovered) = Wal::open(written().disk().clone()).unwrap();
+fn synced_entries_are_read_back() {
+    let (_, recovered) = Wal::open(wal_with_entries().disk().clone()).unwrap();
     assert_eq!(last_index(&recovered), 10);
     assert_eq!(recovered.hard_state.term, 1);
     assert_eq!(recovered.snapshot.data.as_ref(), b"first");
@@ -58,10 +58,10 @@
 #[case(1)]
 #[case(9)]
 #[case(30)]
-fn cuts_a_torn_tail_and_goes_on(#[case] torn: usize) {
-    let mut disk = written().disk().clone();
+fn a_torn_tail_is_truncated(#[case] torn: usize) {
+    let mut disk = wal_with_entries().disk().clone();
     let name = file(&disk, "log-");
-    // An append that was never synced, of which some bytes reached the disk.
+    // An append without a sync, of which some bytes reached the disk.
     disk.append(&name, &[0xaa; 40]).unwrap();
     disk.crash(torn);
     let (mut wal, recovered) = Wal::open(disk).unwrap();
@@ -72,16 +72,16 @@
 }
 
 #[test]
-fn refuses_damage_in_the_middle_of_the_log() {
-    let mut disk = written().disk().clone();
+fn damage_in_the_middle_of_the_log_is_an_error() {
+    let mut disk = wal_with_entries().disk().clone();
     let name = file(&disk, "log-");
     assert!(disk.corrupt_byte(&name, 30));
     assert!(matches!(Wal::open(disk), Err(WalError::Corrupt(_))));
 }
 
 #[test]
-fn falls_back_to_the_previous_snapshot() {
-    let mut wal = written();
+fn a_damaged_snapshot_falls_back_to_the_previous_one() {
+    let mut wal = wal_with_entries();
     snapshot_at(&mut wal, 6);
     let mut disk = wal.disk().clone();
     let name = file(&disk, "snapshot-");
@@ -89,14 +89,14 @@
     let (wal, recovered) = Wal::open(disk).unwrap();
     assert_eq!(recovered.snapshot.data.as_ref(), b"first");
     assert_eq!(last_index(&recovered), 10);
-    // The fallback was made whole again.
+    // Opening has rewritten the damaged snapshot.
     let (_, again) = Wal::open(wal.disk().clone()).unwrap();
     assert_eq!(last_index(&again), 10);
 }
 
 #[test]
-fn refuses_when_no_snapshot_is_good() {
-    let mut wal = written();
+fn an_error_without_an_undamaged_snapshot() {
+    let mut wal = wal_with_entries();
     snapshot_at(&mut wal, 6);
     let mut disk = wal.disk().clone();
     let names: Vec<String> =
@@ -108,9 +108,9 @@
 }
 
 #[test]
-fn an_interrupted_snapshot_loses_nothing() {
-    // The new segment is there, the new snapshot is not.
-    let mut wal = written();
+fn an_interrupted_snapshot_loses_no_entries() {
+    // The new segment exists, but the new snapshot does not.
+    let mut wal = wal_with_entries();
     snapshot_at(&mut wal, 6);
     let mut disk = wal.disk().clone();
     let name = file(&disk, "snapshot-");
@@ -120,8 +120,8 @@
 }
 
 #[test]
-fn recovers_after_thousands_of_changes() {
-    let mut wal = written();
+fn recovers_thousands_of_entries() {
+    let mut wal = wal_with_entries();
     for index in 11..=5_000 {
         wal.persist(&ready(index..=index)).unwrap();
     }
--- a/crates/settings/src/declarations/mod.rs
+++ b/crates/settings/src/declarations/mod.rs
@@ -1,4 +1,4 @@
-//! What a deployment consists of: zones, models, engines, applications, tenants, limits and
+//! Declarations of a deployment: zones, models, engines, applications, tenants, limits and
 //! policies.
 
 mod read;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use topazmount_types::{ModelId, Priority, ReplicaId, TenantId, WeightsVersion, ZoneId};
 
-/// A whole deployment, checked.
+/// Validated declarations of a deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Declarations {
     /// Name of the deployment.
@@ -21,25 +21,25 @@
     pub block_tokens: u32,
     /// Zones.
     pub zones: Vec<Zone>,
-    /// Delays between machines.
+    /// Network delays.
     pub network: Network,
-    /// Models that callers may ask for.
+    /// Models available to callers.
     pub models: Vec<Model>,
     /// Engine replicas.
     pub engines: Vec<Engine>,
-    /// Applications whose operations run at most once.
+    /// Applications with at-most-once operations.
     pub applications: Vec<Application>,
     /// Tenants.
     pub tenants: Vec<Tenant>,
-    /// Bounds on requests and work.
+    /// Limits on requests.
     pub limits: Limits,
-    /// Which policies decide.
+    /// Traffic shares of policies.
     pub routing: Routing,
     /// Policy programs.
     pub policies: Vec<PolicyDeclaration>,
-    /// The store that engines load weights from.
+    /// Store from which engines load weights.
     pub weights_store: WeightsStore,
-    /// Where the platform's list of live and leaving machines is served, if it is.
+    /// Address of the platform's list of live and leaving machines, if any.
     pub machine_list: Option<SocketAddr>,
 }
 
@@ -57,7 +57,7 @@
 pub struct Network {
     /// Between two zones.
     pub zone_delay: Duration,
-    /// From a client to the node beside it.
+    /// Between a client and its local node.
     pub client_delay: Duration,
 }
 
@@ -66,13 +66,13 @@
 pub struct Model {
     /// Identifier derived from the name.
     pub id: ModelId,
-    /// Name as callers write it.
+    /// Name in requests.
     pub name: String,
-    /// Weights version that may serve it now.
+    /// Weights version that serves it.
     pub weights: WeightsVersion,
 }
 
-/// A back end's place.
+/// Name, zone and address of a back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replica {
     /// Identifier derived from the name.
@@ -81,23 +81,23 @@
     pub name: String,
     /// Zone.
     pub zone: ZoneId,
-    /// Where it listens for HTTP.
+    /// HTTP address.
     pub address: SocketAddr,
 }
 
 /// An engine replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Engine {
-    /// Its place.
+    /// Name, zone and address.
     pub replica: Replica,
-    /// Models it serves.
+    /// Models that it serves.
     pub models: Vec<ModelId>,
 }
 
-/// An application: services whose operations run at most once, on some replicas.
+/// An application: a service with at-most-once operations, and its replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Application {
-    /// The service as callers write it.
+    /// Service.
     pub service: Service,
     /// Its replicas.
     pub replicas: Vec<Replica>,
@@ -119,53 +119,54 @@
     pub id: TenantId,
     /// Name.
     pub name: String,
-    /// Hex BLAKE3 hash of the API key.
+    /// Hexadecimal BLAKE3 hash of the API key.
     pub api_key_hash: String,
-    /// Prompt and generated tokens a second for the whole fleet.
+    /// Prompt and generated tokens per second in the whole fleet.
     pub rate_tokens_per_second: u64,
-    /// Tokens that may be used at once after a quiet time.
+    /// Burst size in tokens.
     pub burst_tokens: u64,
-    /// Priority of requests that name none.
+    /// Default priority of requests.
     pub priority: Priority,
 }
 
-/// Bounds on requests and work.
+/// Limits on requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest prompt, in tokens.
+    /// Maximum prompt length, in tokens.
     pub max_prompt_tokens: u32,
-    /// Most tokens that a request may ask for.
+    /// Maximum number of tokens that a request can generate.
     pub max_completion_tokens: u32,
-    /// Open connections of callers per node.
+    /// Maximum number of open caller connections per node.
     pub max_connections: usize,
-    /// Time for a caller to send its header and body.
+    /// Timeout for receiving the header and body of a request.
     pub receive_timeout: Duration,
-    /// Time from arrival to a terminal answer, for requests that name none.
+    /// Default time from arrival until the response must be complete.
     pub request_deadline: Duration,
-    /// Silence of a back end in mid-answer after which the node resumes elsewhere.
+    /// Time without data from a back end after which a response is resumed at another one.
     pub stall_timeout: Duration,
-    /// Requests waiting per node before new ones are refused.
+    /// Maximum number of waiting requests per node.
     pub queue_capacity: usize,
-    /// Requests in flight per engine and node before others wait.
+    /// Maximum number of requests in flight per engine and node.
     pub engine_concurrency: u32,
-    /// Retries allowed per first try, as a fraction.
+    /// Retries allowed per first attempt.
     pub retry_ratio: f64,
-    /// Time for open work to finish when a process stops.
+    /// Time for open requests to finish when a process stops.
     pub drain_timeout: Duration,
-    /// How long a result of an at-most-once call is kept.
+    /// How long results of at-most-once calls are kept.
     pub result_retention: Duration,
 }
 
-/// Which policies decide.
+/// Traffic shares of policies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Routing {
-    /// Shares of traffic; what they leave to 1 goes to the built-in policy.
+    /// Traffic shares; the built-in policy decides the rest.
     pub shares: Vec<PolicyShare>,
-    /// Policies that are evaluated and not obeyed.
+    /// Policies that are evaluated without effect.
     pub shadows: Vec<String>,
-    /// Blocks that many prompts of a tenant begin with; such prompts meet on the same replicas.
+    /// Length in blocks of prefixes shared by many prompts of a tenant, which are routed to the
+    /// same replicas.
     pub shared_blocks: usize,
 }
 
@@ -183,7 +184,7 @@
 pub struct PolicyDeclaration {
     /// Name.
     pub name: String,
-    /// Version that the operator gives it.
+    /// Version set by the operator.
     pub version: u32,
     /// Program text.
     pub program: String,
@@ -192,26 +193,26 @@
 /// The rate-limited weight store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WeightsStore {
-    /// Time for one replica to load new weights when the store isn't crowded.
+    /// Time for a replica to load weights when the store is not overloaded.
     pub load_time: Duration,
-    /// Replicas that may load at once.
+    /// Maximum number of replicas that load at the same time.
     pub max_concurrent_loads: u32,
 }
 
-/// Name that stands for the policy compiled into the node.
+/// Name of the built-in policy.
 const BUILT_IN_POLICY: &str = "built-in";
 const MAX_MILLIS: u64 = 3_600_000;
 
-/// Hex hash of an API key as declarations store it.
+/// Hexadecimal hash of an API key, as used in declarations.
 pub fn api_key_hash(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
 impl Declarations {
-    /// Parses and checks a deployment's files as a whole.
+    /// Parses and validates the files of a deployment.
     ///
     /// # Errors
-    /// Every problem of every file.
+    /// All problems in all files.
     pub fn parse(source: &SourceFiles) -> Result<Declarations, Problems> {
         let report = Report::default();
         let Some(text) = source.0.get(MAIN_FILE) else {
@@ -237,7 +238,7 @@
         self.applications.iter().find(|application| application.service.name == service)
     }
 
-    /// The model that callers name so.
+    /// The model with this name.
     pub fn model(&self, name: &str) -> Option<&Model> {
         self.models.iter().find(|model| model.name == name)
     }
--- a/crates/settings/src/declarations/read.rs
+++ b/crates/settings/src/declarations/read.rs
@@ -1,4 +1,4 @@
-//! Reads and checks declarations, section by section.
+//! Reads and validates declarations, section by section.
 
 use super::*;
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Reads a section's `name` and reports it when it was used before.
+/// Reads the `name` of a section and reports duplicates.
 fn unique_name(section: &Reader<'_>, seen: &mut BTreeSet<String>, what: &str) -> String {
     let name = section.string("name");
     if !name.is_empty() && !seen.insert(name.clone()) {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,7 @@
-//! Declarations and process settings in TOML, checked as a whole into typed values.
+//! Parsing and validation of declarations and process settings in TOML.
 //!
-//! Everything that an operator writes passes through this crate once, at the edge. All problems of
-//! a folder are found in one pass, and each names file, key and remedy. Only [`read_folder`] and
-//! [`read_process_file`] touch the disk.
+//! All problems are reported in one pass, each with file, key and remedy. Only [`read_folder`] and
+//! [`read_process_file`] read from disk.
 
 mod declarations;
 mod process;
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// A control member as other processes reach it.
+/// Name and address of a control member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Name.
@@ -21,14 +21,14 @@
     pub name: String,
     /// Zone name.
     pub zone: String,
-    /// Where callers connect.
+    /// Listening address for callers.
     pub callers_address: SocketAddr,
-    /// Folder in which the newest configuration is kept over restarts; without it a restart begins
-    /// with `declarations`.
+    /// Folder that stores the latest configuration; without it, a restarted node uses
+    /// `declarations`.
     pub data_folder: Option<PathBuf>,
-    /// Deployment folder that a node starts from when nobody else answers.
+    /// Deployment folder used until a control member responds.
     pub declarations: PathBuf,
-    /// File that holds the cluster key.
+    /// File with the cluster key.
     pub cluster_key_file: PathBuf,
     /// Control members.
     pub control: Vec<Peer>,
@@ -39,31 +39,31 @@
 pub struct ControlSettings {
     /// Name, unique in the control group.
     pub name: String,
-    /// Where other processes connect.
+    /// Listening address for other processes.
     pub internal_address: SocketAddr,
-    /// Folder of durable state.
+    /// Folder for durable state.
     pub data_folder: PathBuf,
-    /// Deployment folder whose content is revision 0.
+    /// Deployment folder with the initial configuration, revision 0.
     pub declarations: PathBuf,
-    /// File that holds the cluster key.
+    /// File with the cluster key.
     pub cluster_key_file: PathBuf,
-    /// The members that form the group at its first start; later, whom to ask to join.
+    /// Members of the group at its first start; later, members to contact for joining.
     pub initial_members: Vec<Peer>,
 }
 
-/// Values given as flags, which replace those of the file.
+/// Command-line values that override those of the file.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
     /// Zone.
     pub zone: Option<String>,
-    /// The process's own listening address.
+    /// Listening address of the process.
     pub address: Option<SocketAddr>,
 }
 
 /// Reads the text of a process settings file.
 ///
 /// # Errors
-/// A problem that names the file when it can't be read.
+/// A problem with the file name if it can't be read.
 pub fn read_process_file(path: &Path) -> Result<String, Problems> {
     std::fs::read_to_string(path).map_err(|error| {
         let report = Report::default();
@@ -76,7 +76,7 @@
 /// Parses a node's settings.
 ///
 /// # Errors
-/// Every problem of the text.
+/// All problems found.
 pub fn parse_node(file: &str, text: &str, flags: &Overrides) -> Result<NodeSettings, Problems> {
     let report = Report::default();
     let Some(table) = parse_table(file, text, &report) else {
@@ -99,7 +99,7 @@
 /// Parses a control member's settings.
 ///
 /// # Errors
-/// Every problem of the text.
+/// All problems found.
 pub fn parse_control(
     file: &str,
     text: &str,
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Typed access to TOML tables that collects every problem instead of stopping at the first.
+//! Typed access to TOML tables that collects all problems.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -7,16 +7,16 @@
 use std::rc::Rc;
 use toml::{Table, Value};
 
-/// One thing wrong with a file.
+/// A problem in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// File name.
     pub file: String,
-    /// Path of the key, such as `tenant[2].rate_tokens_per_second`; or a line number.
+    /// Path of the key, such as `tenant[2].rate_tokens_per_second`, or a line number.
     pub key: String,
     /// What is wrong.
     pub fault: String,
-    /// What to do about it.
+    /// How to fix it.
     pub remedy: String,
 }
 
@@ -44,7 +44,7 @@
 
 impl std::error::Error for Problems {}
 
-/// Where readers of one file report.
+/// Collects the problems of a file.
 #[derive(Clone, Default)]
 pub(crate) struct Report(Rc<RefCell<Vec<Problem>>>);
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// Parses a file's text, reporting the line of a syntax error.
+/// Parses TOML text; reports syntax errors with their line.
 pub(crate) fn parse_table(file: &str, text: &str, report: &Report) -> Option<Table> {
     match text.parse::<Table>() {
         Ok(table) => Some(table),
@@ -85,12 +85,12 @@
     }
 }
 
-/// A table being read; keys that nobody asks for are reported by [`Reader::finish`].
+/// Reads a table; [`Reader::finish`] reports the keys that were not read.
 pub(crate) struct Reader<'a> {
     file: &'a str,
     path: String,
     table: &'a Table,
-    asked: RefCell<BTreeSet<String>>,
+    read_keys: RefCell<BTreeSet<String>>,
     report: Report,
 }
 
@@ -100,7 +100,7 @@
             file,
             path: String::new(),
             table,
-            asked: RefCell::default(),
+            read_keys: RefCell::default(),
             report: report.clone(),
         }
     }
@@ -114,20 +114,20 @@
     }
 
     fn get(&self, name: &str) -> Option<&'a Value> {
-        self.asked.borrow_mut().insert(name.to_owned());
+        self.read_keys.borrow_mut().insert(name.to_owned());
         self.table.get(name)
     }
 
-    fn wrong_type(&self, name: &str, value: &Value, wanted: &str) {
-        let fault = format!("is {} and not {wanted}", article(value.type_str()));
-        self.problem(name, fault, format!("write {wanted}"));
+    fn wrong_type(&self, name: &str, value: &Value, expected: &str) {
+        let fault = format!("is {} and not {expected}", article(value.type_str()));
+        self.problem(name, fault, format!("write {expected}"));
     }
 
-    fn missing(&self, name: &str, wanted: &str) {
-        self.problem(name, "is missing", format!("add {wanted}"));
+    fn missing(&self, name: &str, expected: &str) {
+        self.problem(name, "is missing", format!("add {expected}"));
     }
 
-    /// Whether a key is there.
+    /// Whether a key exists.
     pub(crate) fn has(&self, name: &str) -> bool {
         self.get(name).is_some()
     }
@@ -146,10 +146,10 @@
         }
     }
 
-    /// A string that must be there; an empty one stands in after a reported problem.
+    /// Reads a required string; returns an empty one after reporting a problem.
     pub(crate) fn string(&self, name: &str) -> String {
         if !self.table.contains_key(name) {
-            self.asked.borrow_mut().insert(name.to_owned());
+            self.read_keys.borrow_mut().insert(name.to_owned());
             self.missing(name, "a string");
             return String::new();
         }
@@ -210,7 +210,7 @@
         strings
     }
 
-    /// A sub-table, empty when it is absent.
+    /// Reads a sub-table; empty if absent.
     pub(crate) fn section(&self, name: &str) -> Reader<'a> {
         static EMPTY: std::sync::LazyLock<Table> = std::sync::LazyLock::new(Table::new);
         let table = match self.get(name) {
@@ -224,7 +224,7 @@
         self.child(self.key(name), table)
     }
 
-    /// The tables of an array of tables, empty when it is absent.
+    /// Reads an array of tables; empty if absent.
     pub(crate) fn sections(&self, name: &str) -> Vec<Reader<'a>> {
         let Some(value) = self.get(name) else {
             return Vec::new();
@@ -249,16 +249,16 @@
             file: self.file,
             path,
             table,
-            asked: RefCell::default(),
+            read_keys: RefCell::default(),
             report: self.report.clone(),
         }
     }
 
-    /// Reports every key that was never asked for.
+    /// Reports all keys that were not read.
     pub(crate) fn finish(self) {
-        let asked = self.asked.borrow();
-        for name in self.table.keys().filter(|name| !asked.contains(*name)) {
-            let known: Vec<&str> = asked.iter().map(String::as_str).collect();
+        let read_keys = self.read_keys.borrow();
+        for name in self.table.keys().filter(|name| !read_keys.contains(*name)) {
+            let known: Vec<&str> = read_keys.iter().map(String::as_str).collect();
             let remedy = format!("remove it, or use one of: {}", known.join(", "));
             self.problem(name, "is not a known key", remedy);
         }
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -1,4 +1,4 @@
-//! The files of one deployment as texts, and the differences between two revisions of them.
+//! Source files of a deployment, and deltas between revisions.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -6,52 +6,52 @@
 use thiserror::Error;
 use topazmount_types::Digest;
 
-/// File that every deployment folder must hold.
+/// Required file of a deployment folder.
 pub const MAIN_FILE: &str = "deployment.toml";
-/// Folder, below the deployment's, of policy programs.
+/// Subfolder of policy programs.
 const POLICY_FOLDER: &str = "policies";
-/// Largest size of all files of a deployment together, in bytes.
+/// Maximum total size of a deployment's files, in bytes.
 const MAX_SOURCE_BYTES: usize = 4 * 1024 * 1024;
 
-/// The texts of a deployment's files by name relative to its folder.
+/// Contents of a deployment's files by path relative to its folder.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SourceFiles(pub BTreeMap<String, String>);
 
-/// The change of one file: the middle between a kept head and a kept tail is replaced.
+/// Change of a file: replaces the text between an unchanged prefix and suffix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileDelta {
     /// File name.
     pub name: String,
-    /// Bytes kept from the file's start.
+    /// Length of the unchanged prefix.
     #[serde(rename = "head")]
     pub prefix_bytes: usize,
-    /// Bytes kept from the file's end.
+    /// Length of the unchanged suffix.
     #[serde(rename = "tail")]
     pub suffix_bytes: usize,
-    /// What stands between them now; `None` removes the file.
+    /// New text between them; `None` removes the file.
     #[serde(rename = "middle")]
     pub replacement: Option<String>,
 }
 
-/// A delta does not fit the texts that it is applied to.
+/// A delta does not match the files that it is applied to.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the delta does not fit the texts it is applied to")]
+#[error("the delta does not match the files it is applied to")]
 pub struct ApplyDeltaError;
 
 impl SourceFiles {
-    /// Digest over all names and texts.
+    /// Digest of all names and contents.
     pub fn digest(&self) -> Digest {
         let parts: Vec<&[u8]> =
             self.0.iter().flat_map(|(name, text)| [name.as_bytes(), text.as_bytes()]).collect();
         Digest::of_parts(&parts)
     }
 
-    /// Size of all texts, in bytes.
+    /// Total size of names and contents, in bytes.
     pub fn size(&self) -> usize {
         self.0.iter().map(|(name, text)| name.len() + text.len()).sum()
     }
 
-    /// The deltas that turn these texts into `next`.
+    /// Computes the deltas that turn these files into `next`.
     pub fn deltas_to(&self, next: &SourceFiles) -> Vec<FileDelta> {
         let removed = self.0.keys().filter(|name| !next.0.contains_key(*name)).map(|name| {
             FileDelta { name: name.clone(), prefix_bytes: 0, suffix_bytes: 0, replacement: None }
@@ -67,22 +67,23 @@
     /// Applies deltas in order.
     ///
     /// # Errors
-    /// [`ApplyDeltaError`] when one does not fit; the texts are then as before.
+    /// [`ApplyDeltaError`] if a delta does not match; no file is changed then.
     pub fn apply(&mut self, deltas: &[FileDelta]) -> Result<(), ApplyDeltaError> {
         let mut files = self.0.clone();
         for delta in deltas {
-            let Some(middle) = &delta.replacement else {
+            let Some(replacement) = &delta.replacement else {
                 files.remove(&delta.name).ok_or(ApplyDeltaError)?;
                 continue;
             };
             let before = files.get(&delta.name).map_or("", String::as_str);
-            let tail_start = before.len().checked_sub(delta.suffix_bytes).ok_or(ApplyDeltaError)?;
-            let head = before.get(..delta.prefix_bytes).ok_or(ApplyDeltaError)?;
-            let tail = before.get(tail_start..).ok_or(ApplyDeltaError)?;
-            if delta.prefix_bytes > tail_start {
+            let suffix_start =
+                before.len().checked_sub(delta.suffix_bytes).ok_or(ApplyDeltaError)?;
+            let prefix = before.get(..delta.prefix_bytes).ok_or(ApplyDeltaError)?;
+            let suffix = before.get(suffix_start..).ok_or(ApplyDeltaError)?;
+            if delta.prefix_bytes > suffix_start {
                 return Err(ApplyDeltaError);
             }
-            let text = format!("{head}{middle}{tail}");
+            let text = format!("{prefix}{replacement}{suffix}");
             files.insert(delta.name.clone(), text);
         }
         self.0 = files;
@@ -92,27 +93,27 @@
 
 fn file_delta(name: &str, before: &str, after: &str) -> FileDelta {
     let same = |(left, right): &(u8, u8)| left == right;
-    let mut head = before.bytes().zip(after.bytes()).take_while(same).count();
-    while !before.is_char_boundary(head) || !after.is_char_boundary(head) {
-        head -= 1;
+    let mut prefix = before.bytes().zip(after.bytes()).take_while(same).count();
+    while !before.is_char_boundary(prefix) || !after.is_char_boundary(prefix) {
+        prefix -= 1;
     }
-    let reversed = before[head..].bytes().rev().zip(after[head..].bytes().rev());
-    let mut tail = reversed.take_while(same).count();
-    while !before.is_char_boundary(before.len() - tail) {
-        tail -= 1;
+    let reversed = before[prefix..].bytes().rev().zip(after[prefix..].bytes().rev());
+    let mut suffix = reversed.take_while(same).count();
+    while !before.is_char_boundary(before.len() - suffix) {
+        suffix -= 1;
     }
     FileDelta {
         name: name.to_owned(),
-        prefix_bytes: head,
-        suffix_bytes: tail,
-        replacement: Some(after[head..after.len() - tail].to_owned()),
+        prefix_bytes: prefix,
+        suffix_bytes: suffix,
+        replacement: Some(after[prefix..after.len() - suffix].to_owned()),
     }
 }
 
 /// Reads a deployment folder: its `.toml` files and the programs in `policies/`.
 ///
 /// # Errors
-/// Any I/O error, or one of kind `InvalidData` when the files exceed 4 MiB together.
+/// I/O errors, and `InvalidData` if the files exceed 4 MiB in total.
 pub fn read_folder(folder: &Path) -> std::io::Result<SourceFiles> {
     let mut files = BTreeMap::new();
     read_matching(folder, "", "toml", &mut files)?;
@@ -122,7 +123,7 @@
     }
     let source = SourceFiles(files);
     if source.size() > MAX_SOURCE_BYTES {
-        let message = format!("files exceed {MAX_SOURCE_BYTES} bytes together");
+        let message = format!("files exceed {MAX_SOURCE_BYTES} bytes in total");
         return Err(std::io::Error::new(std::io::ErrorKind::InvalidData, message));
     }
     Ok(source)
--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -1,24 +1,24 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! Error kinds, and the response for each kind.
 //!
-//! `docs/ERRORS.md` repeats the table for callers; a test compares the two.
+//! `docs/ERRORS.md` documents the table for callers; a test compares the two.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What an answer says about whether the request ran at a back end.
+/// Whether a request ran at a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// No byte was handed to a back end, or the back end itself said that it did not accept.
+    /// No byte was sent to a back end, or the back end reported that it did not accept the request.
     NotRun,
-    /// A back end ran it, wholly or in part.
+    /// A back end ran it completely or in part.
     Ran,
-    /// It was handed over and the outcome can't be told.
+    /// It was sent to a back end, and the outcome is unknown.
     Unknown,
 }
 
 impl RunState {
-    /// The word used in answers.
+    /// Name in responses.
     pub fn as_str(self) -> &'static str {
         match self {
             RunState::NotRun => "not_run",
@@ -28,8 +28,8 @@
     }
 }
 
-/// Row of the table from kind to answer.
-struct Answer {
+/// Response for an error kind.
+struct ErrorResponse {
     name: &'static str,
     status: u16,
     run: RunState,
@@ -39,17 +39,17 @@
 
 macro_rules! error_kinds {
     ($($(#[doc = $doc:literal])* $kind:ident => $name:literal, $status:literal, $run:ident, $retry:expr, $exit:literal;)*) => {
-        /// Every kind of error that a caller or an operator can be answered with.
+        /// Kinds of errors returned to callers and operators.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum ErrorKind { $($(#[doc = $doc])* $kind,)* }
 
         impl ErrorKind {
-            /// All kinds, in the order of the table.
+            /// All kinds, in table order.
             pub const ALL: &'static [ErrorKind] = &[$(ErrorKind::$kind,)*];
 
-            fn answer(self) -> Answer {
-                match self { $(ErrorKind::$kind => Answer {
+            fn response(self) -> ErrorResponse {
+                match self { $(ErrorKind::$kind => ErrorResponse {
                     name: $name,
                     status: $status,
                     run: RunState::$run,
@@ -58,7 +58,7 @@
                 },)* }
             }
 
-            /// What the kind means, for `docs/ERRORS.md`.
+            /// Meaning, as in `docs/ERRORS.md`.
             pub fn meaning(self) -> &'static str {
                 match self { $(ErrorKind::$kind => concat!($($doc),*).trim_ascii(),)* }
             }
@@ -121,48 +121,48 @@
 }
 
 impl ErrorKind {
-    /// The word used in answers and metrics.
+    /// Name in responses and metrics.
     pub fn name(self) -> &'static str {
-        self.answer().name
+        self.response().name
     }
 
     /// HTTP status.
     pub fn status(self) -> u16 {
-        self.answer().status
+        self.response().status
     }
 
-    /// Run state given when the request's own state does not say otherwise.
+    /// Default run state of the kind.
     pub fn run(self) -> RunState {
-        self.answer().run
+        self.response().run
     }
 
-    /// Shortest time after which a later try can help, if one can.
+    /// Minimum time before a retry can succeed, if it can.
     pub fn retry_after(self) -> Option<Duration> {
-        self.answer().retry_after_seconds.map(Duration::from_secs)
+        self.response().retry_after_seconds.map(Duration::from_secs)
     }
 
     /// Exit status of a command that ends with this error.
     pub fn exit_status(self) -> u8 {
-        self.answer().exit_status
+        self.response().exit_status
     }
 }
 
-/// A terminal answer other than success.
+/// An error response to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{}: {message}", kind.name())]
 pub struct Refusal {
-    /// Kind, which fixes the status.
+    /// Kind, which determines the status.
     pub kind: ErrorKind,
-    /// One sentence for the caller; never prompt text or keys.
+    /// Message for the caller; never contains prompt text or keys.
     pub message: String,
     /// Whether the request ran.
     pub run: RunState,
-    /// When a later try can help.
+    /// Time before a retry can succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal with the kind's own run state and retry time.
+    /// Creates a refusal with the default run state and retry time of the kind.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         Refusal { kind, message: message.into(), run: kind.run(), retry_after: kind.retry_after() }
     }
@@ -173,7 +173,7 @@
         self
     }
 
-    /// Replaces the time after which a later try can help.
+    /// Replaces the retry time.
     pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
--- a/crates/types/src/identifier.rs
+++ b/crates/types/src/identifier.rs
@@ -1,7 +1,6 @@
 //! Identifiers.
 //!
-//! Names in declarations are hashed to 64 bits once, so that the cores compare and copy integers.
-//! The settings check refuses two names of one kind that hash alike.
+//! Declared names are hashed to 64-bit identifiers.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -39,19 +38,19 @@
     ModelId
 );
 name_identifier!(
-    /// A back end: an engine replica or an application replica.
+    /// A back end: a replica of an engine or of an application.
     ReplicaId
 );
 name_identifier!(
-    /// A zone: machines that fail together and are close to each other.
+    /// A zone: machines that are close to each other and can fail together.
     ZoneId
 );
 name_identifier!(
-    /// A process beside a caller.
+    /// A node: the router process next to a caller.
     NodeId
 );
 
-/// Identifies one run of a process; a restart draws a new one.
+/// Identifies one run of a process; each restart draws a new value.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -63,20 +62,20 @@
 )]
 pub struct WeightsVersion(pub u32);
 
-/// Position of a configuration in the order that the control group accepted; 0 is the seed that
-/// processes start from.
+/// Revision of the configuration, in the order accepted by the control group; 0 is the initial
+/// configuration.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision(pub u64);
 
-/// One request of a caller, unique within an incarnation of a node.
+/// Identifies a request, unique within an incarnation of a node.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RequestId(pub u64);
 
-/// One try of a request at one back end, unique within an incarnation of a node.
+/// Identifies an attempt of a request at a back end, unique within an incarnation of a node.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -112,7 +111,7 @@
         Self::from_hash(blake3::hash(bytes))
     }
 
-    /// Hashes several byte strings; each is preceded by its length so that boundaries count.
+    /// Hashes byte strings, each preceded by its length.
     pub fn of_parts(parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
@@ -134,8 +133,8 @@
     }
 }
 
-/// What makes two tries the same request: who asks, for what, with which body. Identifiers that a caller
-/// draws anew for each try don't count.
+/// Digest of a request's caller, target and body. Two attempts of the same request have the same
+/// digest; identifiers that differ between attempts are not included.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -147,11 +146,11 @@
     }
 }
 
-/// A tenant's key of a call that may run at most once.
+/// Idempotency key of a call, scoped to a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ActionKey {
-    /// Whose key it is: equal keys of two tenants are two calls.
+    /// Tenant that owns the key.
     pub tenant: TenantId,
-    /// Hash of the text that the caller sent in `Idempotency-Key`.
+    /// Hash of the `Idempotency-Key` header.
     pub key: Digest,
 }
--- a/crates/types/src/instance.rs
+++ b/crates/types/src/instance.rs
@@ -4,21 +4,24 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Identifier of a replica. One that starts again may keep it; its [`Start`] tells its incarnations apart.
+/// Identifier of a replica, which can stay the same after a restart; [`Start`] distinguishes the
+/// incarnations.
 pub type InstanceId = String;
 
-/// When an incarnation of a replica started, as the replica says: milliseconds of Unix time, by its own clock. Compared
-/// with other starts under the same identifier, and with a clock of ours only where nothing else tells who said something.
+/// Start time of an incarnation as reported by the replica, in Unix milliseconds of its own clock.
+/// Mostly compared with other start times of the same identifier; comparisons with other clocks
+/// must tolerate clock skew.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Start(pub u64);
 
 impl Start {
-    /// Of a replica that does not say when it started.
+    /// Start time of a replica that reports none.
     pub const UNKNOWN: Start = Start(0);
 
-    /// The same moment by a process's clock, whose origin is Unix time's; what clocks are apart comes in addition.
+    /// Converts to the time of a process, which also counts from the Unix epoch; does not correct
+    /// clock skew.
     pub fn as_time(self) -> Time {
         Time::from_millis(self.0.min(u64::MAX / 1_000))
     }
@@ -33,22 +36,22 @@
     }
 }
 
-/// What the control group has committed of a replica.
+/// A replica as registered with the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
     /// Identifier.
     pub id: InstanceId,
-    /// Service that it belongs to.
+    /// Name of its service.
     pub service: String,
     /// Address, `ip:port`.
     pub address: String,
     /// Zone.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new requests.
     pub is_draining: bool,
-    /// Registry revision of the last change.
+    /// Registry revision of its last change.
     pub changed_at: u64,
     /// When this incarnation started.
     #[serde(default)]
@@ -56,14 +59,14 @@
 }
 
 impl Instance {
-    /// Name of this incarnation, see [`incarnation_name`].
+    /// Name of this incarnation; see [`incarnation_name`].
     pub fn incarnation_name(&self) -> String {
         incarnation_name(&self.id, self.start)
     }
 }
 
-/// Name that tells an incarnation from all others under its identifier; the identifier alone where no start is said. A
-/// `#` is in no identifier, since these come as part of a request's target.
+/// Unique name of an incarnation: the identifier and the start time, or the identifier alone if the
+/// start time is unknown. Identifiers contain no `#`, because they are part of request targets.
 pub fn incarnation_name(id: &str, start: Start) -> String {
     match start {
         Start::UNKNOWN => id.to_owned(),
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,6 @@
-//! Identifiers, time, the closed list of error kinds and request shapes.
+//! Types shared by all crates: identifiers, time, error kinds and requests.
 //!
-//! Every other crate depends on this one and it depends on none of them. It performs no I/O and
-//! reads no clock.
+//! Performs no I/O and reads no clock.
 
 mod error;
 mod identifier;
--- a/crates/types/src/request.rs
+++ b/crates/types/src/request.rs
@@ -1,19 +1,19 @@
-//! What callers ask for, after the HTTP shell has parsed and checked it.
+//! Parsed and validated requests of callers.
 
 use crate::{Digest, ModelId, TenantId, WeightsVersion};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Order in which waiting work is served; lower values first.
+/// Priority of requests in the queue; lower values are served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// Somebody waits at a screen or a slipway for a short answer.
+    /// Interactive work that waits for a short response.
     Interactive,
     /// The default.
     Normal,
-    /// Long work that tolerates a late answer but must still progress.
+    /// Long-running work that tolerates delay.
     Batch,
 }
 
@@ -21,7 +21,7 @@
     /// All priorities, most urgent first.
     pub const ALL: [Priority; 3] = [Priority::Interactive, Priority::Normal, Priority::Batch];
 
-    /// The word used in requests, metrics and reports.
+    /// Name in requests, metrics and reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Priority::Interactive => "interactive",
@@ -31,10 +31,10 @@
     }
 }
 
-/// Which of the two completion paths was asked.
+/// Completion endpoint of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Endpoint {
-    /// Messages of a conversation.
+    /// Chat messages.
     #[default]
     Chat,
     /// A plain prompt.
@@ -42,7 +42,7 @@
 }
 
 impl Endpoint {
-    /// Path at nodes and engines alike.
+    /// HTTP path, the same at nodes and engines.
     pub fn path(self) -> &'static str {
         match self {
             Endpoint::Chat => "/v1/chat/completions",
@@ -51,56 +51,56 @@
     }
 }
 
-/// A completion request that may be tried again elsewhere.
+/// A completion request, which can be retried at another replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatRequest {
-    /// Path that was asked, at the engine too.
+    /// Endpoint, also used at the engine.
     pub endpoint: Endpoint,
-    /// Who pays.
+    /// Tenant.
     pub tenant: TenantId,
-    /// The model asked for.
+    /// Requested model.
     pub model: ModelId,
-    /// Weights version that the node's configuration names for the model.
+    /// Weights version configured for the model.
     pub weights: WeightsVersion,
-    /// Urgency.
+    /// Priority.
     pub priority: Priority,
-    /// Whether the caller reads tokens as they come.
+    /// Whether the response is streamed.
     pub stream: bool,
-    /// Length of the prompt in tokens (estimated by the shell from its bytes).
+    /// Prompt length in tokens, estimated from its bytes.
     pub prompt_tokens: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Hashes of the prompt's whole blocks, each chained on all before it.
+    /// Hashes of the complete prompt blocks, each chained to the previous ones.
     pub blocks: Arc<[u64]>,
-    /// Identifies a conversation, for policies that keep sessions together; 0 when none is named.
+    /// Session identifier, for policies that route a session to one replica; 0 if unspecified.
     pub session: u64,
-    /// The caller's own JSON body, forwarded with few changes.
+    /// JSON body of the caller, forwarded with few changes.
     pub body: Arc<str>,
-    /// Time from arrival by which the caller must have a terminal answer.
+    /// Time from arrival until the caller must have received the complete response.
     pub deadline: Duration,
 }
 
-/// A call that may run at most once.
+/// A call that must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActionCall {
-    /// Who calls.
+    /// Tenant.
     pub tenant: TenantId,
     /// Hash of the caller's idempotency key.
     pub key: Digest,
-    /// The key itself, passed on to the application.
+    /// The key itself, forwarded to the application.
     pub key_text: Arc<str>,
     /// Service name as declared.
     pub service: Arc<str>,
     /// Operation name as declared.
     pub operation: Arc<str>,
-    /// The caller's body.
+    /// Body of the caller.
     pub body: Arc<str>,
-    /// Time from arrival by which the caller must have a terminal answer.
+    /// Time from arrival until the caller must have received the complete response.
     pub deadline: Duration,
 }
 
 impl ActionCall {
-    /// Digest by which a resend is told from another call with the same key.
+    /// Digest that distinguishes a retry from a different call with the same key.
     pub fn digest(&self) -> Digest {
         Digest::of_parts(&[
             self.service.as_bytes(),
@@ -110,7 +110,7 @@
     }
 }
 
-/// Token counts of one answer.
+/// Token counts of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Prompt tokens.
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,7 +1,7 @@
-//! Time as the cores see it: microseconds since an origin that the driver chooses.
+//! Time in microseconds since an origin.
 //!
-//! Real processes count from the Unix epoch so that ledger times survive restarts; the simulator
-//! counts from the start of a run.
+//! Processes count from the Unix epoch, so that stored times stay valid after a restart; the
+//! simulator counts from the start of a run.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -13,24 +13,24 @@
 /// Microseconds in one millisecond.
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// A moment in microseconds since the driver's origin.
+/// A point in time, in microseconds since the origin.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Time(pub u64);
 
 impl Time {
-    /// The driver's origin.
+    /// The origin.
     pub const ZERO: Time = Time(0);
-    /// A moment that is never reached.
+    /// A time that is never reached.
     pub const NEVER: Time = Time(u64::MAX);
 
-    /// The moment `millis` milliseconds after the origin.
+    /// Creates the time `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Time(millis * MICROS_PER_MILLI)
     }
 
-    /// The moment `seconds` seconds after the origin.
+    /// Creates the time `seconds` seconds after the origin.
     pub const fn from_secs(seconds: u64) -> Self {
         Time(seconds * MICROS_PER_SECOND)
     }
@@ -45,7 +45,7 @@
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
 
-    /// Time elapsed since `earlier`, or zero when `earlier` lies ahead.
+    /// Duration since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/wire/src/compression.rs
+++ b/crates/wire/src/compression.rs
@@ -1,59 +1,59 @@
 //! Compression of large payloads.
 //!
-//! Lists of replicas and gateways repeat their services, zones and the begins of addresses. After a loss of all power each
-//! gateway is sent the whole list: of 3,005 replicas, to 300 gateways, half of them behind a link of 60 Mbit/s.
+//! Lists of replicas and gateways are sent to all gateways at once after a restart of the fleet,
+//! and contain many repeated services, zones and addresses.
 
 use crate::session::{FrameError, MAX_FRAME};
 use flate2::Compression;
 use flate2::read::{DeflateDecoder, DeflateEncoder};
 use std::io::Read;
 
-/// Payloads below this are sent as they are: little is won, and most of them are.
-const SMALLEST_PACKED: usize = 1_024;
-/// Largest payload after unpacking, in bytes: twice what a frame may carry unpacked.
-const MAX_UNPACKED: u64 = 2 * MAX_FRAME as u64;
+/// Minimum payload size for compression, in bytes.
+const MIN_COMPRESSED_BYTES: usize = 1_024;
+/// Maximum decompressed payload, in bytes.
+const MAX_DECOMPRESSED_BYTES: u64 = 2 * MAX_FRAME as u64;
 
-/// First byte of a payload, which says how the rest is to be read.
+/// Formats of a payload, given by its first byte.
 const PLAIN: u8 = 0;
 const DEFLATED: u8 = 1;
 
-/// Packs a payload.
+/// Compresses a payload if that makes it smaller, and prepends its format.
 pub fn compress(payload: &[u8]) -> Vec<u8> {
-    let mut packed = Vec::with_capacity(payload.len() + 1);
-    if payload.len() >= SMALLEST_PACKED {
-        packed.push(DEFLATED);
+    let mut compressed = Vec::with_capacity(payload.len() + 1);
+    if payload.len() >= MIN_COMPRESSED_BYTES {
+        compressed.push(DEFLATED);
         let mut encoder = DeflateEncoder::new(payload, Compression::fast());
-        if encoder.read_to_end(&mut packed).is_ok() && packed.len() <= payload.len() {
-            return packed;
+        if encoder.read_to_end(&mut compressed).is_ok() && compressed.len() <= payload.len() {
+            return compressed;
         }
-        packed.clear();
+        compressed.clear();
     }
-    packed.push(PLAIN);
-    packed.extend_from_slice(payload);
-    packed
+    compressed.push(PLAIN);
+    compressed.extend_from_slice(payload);
+    compressed
 }
 
-/// Unpacks a payload.
+/// Reverses [`compress`].
 ///
 /// # Errors
-/// [`FrameError::Payload`] when it was not packed by [`pack`], or would be larger than any that is sent.
-pub fn decompress(packed: &[u8]) -> Result<Vec<u8>, FrameError> {
-    let Some((kind, rest)) = packed.split_first() else {
-        return Err(FrameError::Payload("it is empty".to_owned()));
+/// [`FrameError::Payload`] for invalid input, [`FrameError::Length`] if the payload is too large.
+pub fn decompress(compressed: &[u8]) -> Result<Vec<u8>, FrameError> {
+    let Some((kind, rest)) = compressed.split_first() else {
+        return Err(FrameError::Payload("payload is empty".to_owned()));
     };
     match *kind {
         PLAIN => Ok(rest.to_vec()),
         DEFLATED => {
             let mut payload = Vec::new();
-            let mut decoder = DeflateDecoder::new(rest).take(MAX_UNPACKED + 1);
+            let mut decoder = DeflateDecoder::new(rest).take(MAX_DECOMPRESSED_BYTES + 1);
             decoder
                 .read_to_end(&mut payload)
                 .map_err(|error| FrameError::Payload(error.to_string()))?;
-            match payload.len() as u64 <= MAX_UNPACKED {
+            match payload.len() as u64 <= MAX_DECOMPRESSED_BYTES {
                 true => Ok(payload),
                 false => Err(FrameError::Length(payload.len())),
             }
         }
-        other => Err(FrameError::Payload(format!("it is packed in an unknown way, {other}"))),
+        other => Err(FrameError::Payload(format!("unknown compression format {other}"))),
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,10 +1,10 @@
 //! Frames between topazmount processes.
 //!
-//! A frame is `length: u32 LE | version: u8 | tag: 16 bytes | payload`. The payload is one
-//! `rmp-serde` value, packed as its [`ProtocolVersion`] says. The tag is a keyed BLAKE3 hash over a per-direction sequence number and the
-//! payload, under a key derived from the cluster key and both sides' nonces, so that a peer
-//! without the cluster key, a replayed frame and a frame from another connection are all refused.
-//! The crate performs no I/O: shells move the bytes.
+//! A frame is `length: u32 LE | version: u8 | tag: 16 bytes | payload`. The payload is a
+//! MessagePack value in the encoding of its [`ProtocolVersion`]. The tag is a keyed BLAKE3 hash of
+//! a sequence number per direction and the payload, with a key derived from the cluster key and the
+//! nonces of both sides. Frames of peers without the cluster key, replayed frames and frames of
+//! other connections are therefore rejected. The crate performs no I/O.
 
 mod codec;
 mod compression;
--- a/crates/wire/src/session.rs
+++ b/crates/wire/src/session.rs
@@ -1,21 +1,21 @@
-//! Keyed authentication of frames on one connection.
+//! Handshake and frame authentication of a connection.
 
 use thiserror::Error;
 
-/// ProtocolVersion of what is said on a connection. Both sides speak the newest that both know.
+/// Encoding of payloads on a connection; both sides use the latest version that both support.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProtocolVersion {
-    /// Payloads have the types of the first builds, without the names of their fields, and are never deflated.
+    /// Types of legacy builds, without field names and compression.
     Legacy,
-    /// Payloads have fields with their names; large ones are deflated.
+    /// With field names; large payloads are compressed.
     Named,
 }
 
 impl ProtocolVersion {
-    /// The newest version that this build speaks.
+    /// The latest version that this build supports.
     pub const LATEST: ProtocolVersion = ProtocolVersion::Named;
 
-    /// Number in greetings and frames.
+    /// Number in handshakes and frames.
     pub fn number(self) -> u8 {
         match self {
             ProtocolVersion::Legacy => 1,
@@ -38,13 +38,13 @@
     }
 }
 
-/// Bytes of the tag.
+/// Length of the authentication tag, in bytes.
 const TAG_LENGTH: usize = 16;
-/// Bytes of the length prefix.
+/// Size of the length prefix, in bytes.
 pub const LENGTH_PREFIX: usize = 4;
-/// Largest frame after its length prefix, in bytes. A configuration snapshot must fit.
+/// Maximum frame length without its prefix, in bytes. A configuration snapshot must fit.
 pub const MAX_FRAME: usize = 8 * 1024 * 1024;
-/// Bytes of a [`Hello`].
+/// Length of an encoded [`Hello`], in bytes.
 pub const HELLO_LENGTH: usize = MAGIC.len() + 1 + NONCE_LENGTH;
 
 const MAGIC: &[u8; 4] = b"TPZM";
@@ -52,19 +52,19 @@
 const DATAGRAM_CONTEXT: &str = "topazmount 2026 datagram key";
 const DERIVE_CONTEXT: &str = "topazmount 2026 frame session key";
 
-/// Why a frame or a peer was refused.
+/// Why a frame or a peer was rejected.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum FrameError {
-    /// The peer does not speak this protocol or version.
-    #[error("peer speaks another protocol or version")]
+    /// The peer uses another protocol or an unsupported version.
+    #[error("peer uses another protocol or version")]
     Version,
-    /// The frame is longer than [`MAX_FRAME`] or shorter than its own header.
+    /// The frame is longer than [`MAX_FRAME`] or shorter than its header.
     #[error("frame length {0} is out of range")]
     Length(usize),
-    /// The tag does not match: another key, a replayed or an altered frame.
+    /// The tag does not match: wrong key, or a replayed or modified frame.
     #[error("frame authentication failed")]
     Authentication,
-    /// The payload is not one value of the expected type.
+    /// The payload is not a value of the expected type.
     #[error("payload is malformed: {0}")]
     Payload(String),
 }
@@ -80,7 +80,7 @@
     }
 }
 
-/// Which side of the connection a process is.
+/// Side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// The side that connected.
@@ -89,7 +89,7 @@
     Server,
 }
 
-/// First bytes that each side sends: protocol, version and a fresh nonce.
+/// Handshake message of each side: protocol, version and a random nonce.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hello {
     version: ProtocolVersion,
@@ -97,22 +97,22 @@
 }
 
 impl Hello {
-    /// A greeting in the newest version with the given random nonce.
+    /// Creates a handshake of the latest version with a random nonce.
     pub fn new(nonce: [u8; NONCE_LENGTH]) -> Self {
         Hello::with_version(ProtocolVersion::LATEST, nonce)
     }
 
-    /// A greeting in a version.
+    /// Creates a handshake of a version.
     pub fn with_version(version: ProtocolVersion, nonce: [u8; NONCE_LENGTH]) -> Self {
         Hello { version, nonce }
     }
 
-    /// The version in which it greets.
+    /// Protocol version.
     pub fn version(&self) -> ProtocolVersion {
         self.version
     }
 
-    /// Bytes to send.
+    /// Encodes the handshake.
     pub fn encode(&self) -> [u8; HELLO_LENGTH] {
         let mut bytes = [0u8; HELLO_LENGTH];
         bytes[..4].copy_from_slice(MAGIC);
@@ -121,7 +121,7 @@
         bytes
     }
 
-    /// Reads the peer's greeting.
+    /// Decodes the handshake of a peer.
     ///
     /// # Errors
     /// [`FrameError::Version`] for any other protocol.
@@ -136,21 +136,21 @@
     }
 }
 
-/// Seals outgoing frames of one direction.
+/// Authenticates outgoing frames.
 pub struct Sealer {
     version: ProtocolVersion,
     key: [u8; 32],
     sequence: u64,
 }
 
-/// Opens incoming frames of one direction.
+/// Verifies incoming frames.
 pub struct Opener {
     version: ProtocolVersion,
     key: [u8; 32],
     sequence: u64,
 }
 
-/// Derives both directions' keys of a connection. Both sides greeted in one version.
+/// Derives the keys of both directions. Both handshakes must have the same version.
 pub fn session_keys(
     cluster: &ClusterKey,
     role: Role,
@@ -159,12 +159,12 @@
 ) -> (Sealer, Opener) {
     let to_server = direction_key(cluster, client, server, b"to-server");
     let to_client = direction_key(cluster, client, server, b"to-client");
-    let (out, inward) = match role {
+    let (outgoing, incoming) = match role {
         Role::Client => (to_server, to_client),
         Role::Server => (to_client, to_server),
     };
     let version = client.version.min(server.version);
-    (Sealer { version, key: out, sequence: 0 }, Opener { version, key: inward, sequence: 0 })
+    (Sealer { version, key: outgoing, sequence: 0 }, Opener { version, key: incoming, sequence: 0 })
 }
 
 fn direction_key(cluster: &ClusterKey, client: &Hello, server: &Hello, label: &[u8]) -> [u8; 32] {
@@ -183,8 +183,8 @@
     hasher.finalize()
 }
 
-/// Wraps a payload into a datagram that only processes of the same deployment can make. Datagrams
-/// may be lost, repeated and reordered: what they say must bear that.
+/// Creates an authenticated datagram. Datagrams can be lost, repeated and reordered; there is no
+/// replay protection.
 pub fn seal_datagram(cluster: &ClusterKey, payload: &[u8]) -> Vec<u8> {
     let tag = tag(&datagram_key(cluster), 0, payload);
     let mut datagram = Vec::with_capacity(1 + TAG_LENGTH + payload.len());
@@ -194,10 +194,10 @@
     datagram
 }
 
-/// Checks a datagram and returns its payload.
+/// Verifies a datagram and returns its payload.
 ///
 /// # Errors
-/// [`FrameError`] says what is wrong.
+/// [`FrameError`] if the datagram is invalid.
 pub fn open_datagram<'a>(cluster: &ClusterKey, datagram: &'a [u8]) -> Result<&'a [u8], FrameError> {
     let opener =
         Opener { version: ProtocolVersion::LATEST, key: datagram_key(cluster), sequence: 0 };
@@ -209,7 +209,7 @@
 }
 
 impl Sealer {
-    /// Wraps a payload into a whole frame, length prefix included.
+    /// Creates a frame with its length prefix.
     ///
     /// # Errors
     /// [`FrameError::Length`] when the payload exceeds [`MAX_FRAME`].
@@ -230,10 +230,10 @@
 }
 
 impl Opener {
-    /// Checks a frame that follows its length prefix and returns its payload.
+    /// Verifies a frame without its length prefix and returns its payload.
     ///
     /// # Errors
-    /// [`FrameError`] says what is wrong; the connection must then be closed.
+    /// [`FrameError`] if the frame is invalid; the connection must then be closed.
     pub fn open<'a>(&mut self, frame: &'a [u8]) -> Result<&'a [u8], FrameError> {
         let payload = self.check(frame)?;
         self.sequence += 1;
@@ -260,10 +260,10 @@
     }
 }
 
-/// Reads a length prefix.
+/// Decodes a length prefix.
 ///
 /// # Errors
-/// [`FrameError::Length`] when the frame would exceed [`MAX_FRAME`] or can't hold its header.
+/// [`FrameError::Length`] if the frame would exceed [`MAX_FRAME`] or can't contain its header.
 pub fn frame_length(prefix: [u8; LENGTH_PREFIX]) -> Result<usize, FrameError> {
     let length = u32::from_le_bytes(prefix) as usize;
     if !(1 + TAG_LENGTH..=MAX_FRAME).contains(&length) {
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames against other keys, replays, damage and noise.
+//! Frames with wrong keys, replays, damage and random bytes.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_frame_of_the_right_key_is_opened_once() {
+fn a_frame_is_accepted_once() {
     let (mut sealer, mut opener) = pair(&key("k"), &key("k"));
     let first = sealer.seal(b"first").unwrap();
     let second = sealer.seal(b"second").unwrap();
@@ -29,21 +29,21 @@
 }
 
 #[test]
-fn a_frame_of_another_key_is_refused() {
+fn a_frame_of_another_key_is_rejected() {
     let (mut sealer, mut opener) = pair(&key("k"), &key("other"));
     let frame = sealer.seal(b"payload").unwrap();
     assert!(opener.open(&frame[LENGTH_PREFIX..]).is_err());
 }
 
 #[test]
-fn a_frame_sent_back_is_refused() {
+fn a_reflected_frame_is_rejected() {
     let (client, server) = (Hello::new([1; 16]), Hello::new([2; 16]));
     let (mut sealer, mut opener) = session_keys(&key("k"), Role::Client, &client, &server);
     let frame = sealer.seal(b"payload").unwrap();
     assert!(opener.open(&frame[LENGTH_PREFIX..]).is_err());
 }
 
-/// The same cases in each run.
+/// Runs the same cases each time.
 fn fixed_seed() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(7),
@@ -56,18 +56,18 @@
     #![proptest_config(fixed_seed())]
 
     #[test]
-    fn noise_never_opens(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn random_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let (_, mut opener) = pair(&key("k"), &key("k"));
         prop_assert!(opener.open(&bytes).is_err());
     }
 
     #[test]
-    fn a_changed_byte_never_opens(position in 0usize..20, change in 1u8..) {
+    fn a_modified_frame_is_rejected(position in 0usize..20, change in 1u8..) {
         let (mut sealer, mut opener) = pair(&key("k"), &key("k"));
         let mut frame = sealer.seal(b"some payload").unwrap();
         let body = &mut frame[LENGTH_PREFIX..];
-        let place = position % body.len();
-        body[place] ^= change;
+        let index = position % body.len();
+        body[index] ^= change;
         prop_assert!(opener.open(body).is_err());
     }
 
@@ -79,7 +79,7 @@
     }
 
     #[test]
-    fn greetings_of_noise_do_not_panic(bytes in any::<[u8; 32]>()) {
+    fn decoding_a_random_handshake_does_not_panic(bytes in any::<[u8; 32]>()) {
         let mut hello = [0u8; HELLO_LENGTH];
         let count = bytes.len().min(HELLO_LENGTH);
         hello[..count].copy_from_slice(&bytes[..count]);
@@ -87,23 +87,23 @@
     }
 
     #[test]
-    fn payloads_come_back(text in ".{0,60}", number in any::<u64>()) {
+    fn payloads_round_trip(text in ".{0,60}", number in any::<u64>()) {
         let bytes = encode_payload(&(number, text.clone())).unwrap();
         prop_assert_eq!(decode_payload::<(u64, String)>(&bytes).unwrap(), (number, text));
     }
 
     #[test]
-    fn payloads_of_noise_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..100)) {
+    fn decoding_a_random_payload_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..100)) {
         let _ = decode_payload::<(u64, String)>(&bytes);
     }
 }
 
 #[test]
-fn datagrams_of_other_deployments_and_altered_ones_are_refused() {
+fn datagrams_of_other_keys_and_modified_datagrams_are_rejected() {
     use topazmount_wire::{FrameError, open_datagram, seal_datagram};
     let (key, other) = (ClusterKey::from_text("one"), ClusterKey::from_text("other"));
-    let datagram = seal_datagram(&key, b"news");
-    assert_eq!(open_datagram(&key, &datagram).unwrap(), b"news");
+    let datagram = seal_datagram(&key, b"payload");
+    assert_eq!(open_datagram(&key, &datagram).unwrap(), b"payload");
     assert_eq!(open_datagram(&other, &datagram), Err(FrameError::Authentication));
     for position in 0..datagram.len() {
         let mut altered = datagram.clone();
@@ -113,7 +113,7 @@
     }
 }
 
-/// A message of an older version, and the same one with a field more in the middle of it and in what it lists.
+/// A message of an older version, and a newer one with additional fields at two levels.
 mod versions {
     use serde::{Deserialize, Serialize};
 
@@ -131,7 +131,7 @@
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
     pub enum OlderKind {
-        Told { at: u64 },
+        Reported { at: u64 },
         Nothing,
     }
 
@@ -153,7 +153,7 @@
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
     pub enum NewerKind {
-        Told {
+        Reported {
             at: u64,
             #[serde(default)]
             until: u64,
@@ -162,26 +162,24 @@
     }
 }
 
-/// Two versions run side by side during an upgrade. A newer one's message had a field more, which an older one refused as a whole
-/// ("array had incorrect length, expected 3"): members of two versions could not form a group. With names of fields the older one passes over what
-/// it does not know, and the newer one takes the default for what it is not told.
+/// During an upgrade, each version must ignore unknown fields and use defaults for missing ones.
 #[test]
-fn a_field_more_or_less_is_passed_over() {
+fn unknown_and_missing_fields_are_accepted() {
     use versions::*;
     let newer = Newer {
         term: 7,
         added: 3,
         names: vec![NewerName { zone: "north".to_owned(), name: "one".to_owned() }],
-        kind: NewerKind::Told { at: 5, until: 9 },
+        kind: NewerKind::Reported { at: 5, until: 9 },
     };
     let older = Older {
         term: 7,
         names: vec![OlderName { name: "one".to_owned() }],
-        kind: OlderKind::Told { at: 5 },
+        kind: OlderKind::Reported { at: 5 },
     };
     let read: Older = decode_payload(&encode_payload(&newer).unwrap()).unwrap();
     assert_eq!(read, older);
     let read: Newer = decode_payload(&encode_payload(&older).unwrap()).unwrap();
     assert_eq!((read.term, read.added), (7, 0));
-    assert_eq!(read.kind, NewerKind::Told { at: 5, until: 0 });
+    assert_eq!(read.kind, NewerKind::Reported { at: 5, until: 0 });
 }
--- a/crates/wire/tests/recorded_bytes.rs
+++ b/crates/wire/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
-//! Greetings, frames, datagrams and packed payloads, compared with recorded bytes: another build
-//! must be able to read them.
+//! Greetings, frames, datagrams and compressed payloads, compared with recorded bytes: another
+//! build must be able to read them.
 
 use std::fmt::Write;
 use topazmount_wire::{
