--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -19,7 +19,7 @@
             }
             if let Message::Vote { transfer, .. } = envelope.message {
                 // Thesis §4.2.3 and §6.4.1: no vote for another candidate within a leader's lease.
-                if !transfer && self.may_hold_lease_other_than(envelope.from) {
+                if !transfer && self.may_another_leader_hold_lease(envelope.from) {
                     return false;
                 }
             }
@@ -43,10 +43,10 @@
         true
     }
 
-    /// Whether a leader other than the candidate may still hold its lease. A last followed leader
-    /// that asks for votes has given up its lease, and leases of earlier leaders ended before its
-    /// election.
-    fn may_hold_lease_other_than(&self, candidate: MemberId) -> bool {
+    /// Whether a leader other than the candidate may still hold its lease. The last leader that this
+    /// member followed has given up its lease when it asks for votes, and leases of earlier leaders
+    /// ended before its election.
+    fn may_another_leader_hold_lease(&self, candidate: MemberId) -> bool {
         if self.role == Role::Leader {
             return true;
         }
@@ -114,7 +114,7 @@
     ) {
         let granted = term > self.hard_state.term
             && self.is_log_up_to_date(last_index, last_term)
-            && !self.may_hold_lease_other_than(from);
+            && !self.may_another_leader_hold_lease(from);
         let reply_term = if granted { term } else { self.hard_state.term };
         self.send_in_term(from, reply_term, Message::PreVoteReply { granted });
     }
@@ -165,7 +165,7 @@
         transfer: bool,
     ) {
         let can_vote = self.hard_state.voted_for.is_none_or(|voted| voted == from);
-        let is_lease_over = transfer || !self.may_hold_lease_other_than(from);
+        let is_lease_over = transfer || !self.may_another_leader_hold_lease(from);
         let granted = self.role == Role::Follower
             && can_vote
             && is_lease_over
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -96,7 +96,7 @@
         now: Time,
     ) -> Self {
         let RecoveredState { hard_state, snapshot, log } = recovered;
-        let mut replica = RaftMember {
+        let mut member = RaftMember {
             id,
             config,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -130,16 +130,16 @@
             log,
             snapshot,
         };
-        replica.refresh_membership();
+        member.refresh_membership();
         // Before the restart, this member may have acknowledged a leader whose lease is still
         // running; it must not vote for another one until then.
-        replica.leader_message_at = Some(now);
-        replica.reset_election_timer();
-        if replica.hard_state.last_leader == Some(id) {
-            replica.resume_until = Some(now + replica.config.election_timeout);
-            replica.election_at = now;
+        member.leader_message_at = Some(now);
+        member.reset_election_timer();
+        if member.hard_state.last_leader == Some(id) {
+            member.resume_until = Some(now + member.config.election_timeout);
+            member.election_at = now;
         }
-        replica
+        member
     }
 
     /// Initial state of a new group, the same for all initial members.
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -17,7 +17,7 @@
 /// A member with its disk.
 #[derive(Clone)]
 pub struct Peer {
-    pub replica: RaftMember,
+    pub member: RaftMember,
     pub wal: Wal<MemoryDisk>,
     /// Applied commands by log index.
     pub applied: BTreeMap<Index, Vec<u8>>,
@@ -30,8 +30,8 @@
             wal.initialize(first).unwrap();
             recovered = first.clone();
         }
-        let replica = RaftMember::new(MemberId(id), Config::default(), recovered, id, now);
-        let mut peer = Peer { replica, wal, applied: BTreeMap::new() };
+        let member = RaftMember::new(MemberId(id), Config::default(), recovered, id, now);
+        let mut peer = Peer { member, wal, applied: BTreeMap::new() };
         peer.drain();
         peer
     }
@@ -39,7 +39,7 @@
     /// Processes all ready batches as a driver; returns the messages to send.
     pub fn drain(&mut self) -> Vec<Envelope> {
         let mut messages = Vec::new();
-        while let Some(ready) = self.replica.ready() {
+        while let Some(ready) = self.member.ready() {
             self.wal.persist(&ready).unwrap();
             messages.extend(ready.messages.iter().cloned());
             if let Some(snapshot) = &ready.restore {
@@ -50,16 +50,16 @@
                     self.applied.insert(entry.index, bytes.to_vec());
                 }
             }
-            self.replica.advance(&ready);
+            self.member.advance(&ready);
         }
         messages
     }
 
     /// Takes a snapshot of the applied state and compacts the log.
     pub fn compact(&mut self) {
-        let applied = self.replica.applied();
-        let snapshot = self.replica.compact(encode(&self.applied));
-        let after: Vec<Entry> = self.replica.entries_after(applied);
+        let applied = self.member.applied();
+        let snapshot = self.member.compact(encode(&self.applied));
+        let after: Vec<Entry> = self.member.entries_after(applied);
         self.wal.save_snapshot(&snapshot, &after).unwrap();
     }
 }
@@ -126,13 +126,13 @@
                 continue;
             }
             if let Some(peer) = self.peers.get_mut(&envelope.to.0) {
-                peer.replica.step(self.now, envelope);
+                peer.member.step(self.now, envelope);
             }
         }
         self.check_reads();
         for peer in self.peers.values_mut() {
-            peer.replica.tick(self.now);
-            peer.replica.flush_proposals();
+            peer.member.tick(self.now);
+            peer.member.flush_proposals();
             self.messages.extend(peer.drain());
         }
         self.check();
@@ -142,13 +142,13 @@
     /// lease.
     fn check(&mut self) {
         for peer in self.peers.values() {
-            if peer.replica.role() == Role::Leader {
-                let id = peer.replica.id();
-                let known = *self.leaders.entry(peer.replica.term()).or_insert(id);
-                assert_eq!(known, id, "two leaders in term {}", peer.replica.term());
+            if peer.member.role() == Role::Leader {
+                let id = peer.member.id();
+                let known = *self.leaders.entry(peer.member.term()).or_insert(id);
+                assert_eq!(known, id, "two leaders in term {}", peer.member.term());
             }
         }
-        let leaders = self.peers.values().filter(|peer| peer.replica.has_lease(self.now));
+        let leaders = self.peers.values().filter(|peer| peer.member.has_lease(self.now));
         assert!(leaders.count() <= 1, "two members hold the lease");
     }
 
@@ -156,10 +156,10 @@
     /// can serve reads has applied all entries that any member has applied.
     fn check_reads(&self) {
         let newest = self.peers.values().filter_map(|peer| peer.applied.keys().next_back()).max();
-        let leaders = self.peers.values().filter(|peer| peer.replica.can_serve_reads(self.now));
+        let leaders = self.peers.values().filter(|peer| peer.member.can_serve_reads(self.now));
         for leader in leaders {
             let own = leader.applied.keys().next_back();
-            assert!(own >= newest, "{:?} reads {own:?} of {newest:?}", leader.replica.id());
+            assert!(own >= newest, "{:?} reads {own:?} of {newest:?}", leader.member.id());
         }
     }
 
@@ -180,7 +180,7 @@
     }
 
     pub fn leader(&self) -> Option<u64> {
-        let mut leaders = self.peers.iter().filter(|(_, peer)| peer.replica.has_lease(self.now));
+        let mut leaders = self.peers.iter().filter(|(_, peer)| peer.member.has_lease(self.now));
         leaders.next().map(|(id, _)| *id)
     }
 
@@ -190,7 +190,7 @@
     }
 
     pub fn propose(&mut self, id: u64, command: &[u8]) -> Index {
-        self.peers.get_mut(&id).unwrap().replica.propose(command.to_vec()).unwrap()
+        self.peers.get_mut(&id).unwrap().member.propose(command.to_vec()).unwrap()
     }
 
     /// Proposes a command and waits until all of `ids` have applied it.
--- a/crates/consensus/tests/explorer.rs
+++ b/crates/consensus/tests/explorer.rs
@@ -64,7 +64,7 @@
             steps.extend((0..self.messages.len()).map(Step::Lose));
         }
         for (number, peer) in self.peers.iter().enumerate() {
-            let is_leader = peer.replica.role() == Role::Leader;
+            let is_leader = peer.member.role() == Role::Leader;
             if self.budget.timeouts > 0 && !is_leader {
                 steps.push(Step::TimeOut(number));
             }
@@ -83,7 +83,7 @@
             Step::Deliver(number) => {
                 let envelope = self.messages.remove(number);
                 let to = envelope.to.0 as usize - 1;
-                self.peers[to].replica.step(self.now, envelope);
+                self.peers[to].member.step(self.now, envelope);
                 self.settle(to);
             }
             Step::Lose(number) => {
@@ -93,14 +93,14 @@
             Step::TimeOut(number) => {
                 self.budget.timeouts -= 1;
                 let peer = &mut self.peers[number];
-                self.now = self.now.max(peer.replica.next_wakeup());
-                peer.replica.tick(self.now);
+                self.now = self.now.max(peer.member.next_wakeup());
+                peer.member.tick(self.now);
                 self.settle(number);
             }
             Step::Propose(number) => {
                 self.budget.proposals -= 1;
-                let _ = self.peers[number].replica.propose(b"command".to_vec());
-                self.peers[number].replica.flush_proposals();
+                let _ = self.peers[number].member.propose(b"command".to_vec());
+                self.peers[number].member.flush_proposals();
                 self.settle(number);
             }
             Step::Crash(number) => {
@@ -123,18 +123,18 @@
     }
 
     fn check(&mut self, number: usize) {
-        let replica = &self.peers[number].replica;
-        if replica.role() == Role::Leader {
-            let known = *self.leaders.entry(replica.term()).or_insert(replica.id());
-            assert_eq!(known, replica.id(), "election safety: term {}", replica.term());
+        let member = &self.peers[number].member;
+        if member.role() == Role::Leader {
+            let known = *self.leaders.entry(member.term()).or_insert(member.id());
+            assert_eq!(known, member.id(), "election safety: term {}", member.term());
             // Leader completeness: a new leader has all entries committed in earlier terms.
-            for entry in self.committed.values().filter(|entry| entry.term < replica.term()) {
-                let has = replica.entries_after(1).iter().any(|own| own == entry);
+            for entry in self.committed.values().filter(|entry| entry.term < member.term()) {
+                let has = member.entries_after(1).iter().any(|own| own == entry);
                 assert!(has, "leader completeness: entry {}", entry.index);
             }
         }
-        for entry in replica.entries_after(1) {
-            if entry.index > replica.commit() {
+        for entry in member.entries_after(1) {
+            if entry.index > member.commit() {
                 break;
             }
             let known = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
@@ -145,13 +145,13 @@
     fn fingerprint(&self) -> u128 {
         let mut text = format!("{:?}{:?}", self.budget, self.now);
         for peer in &self.peers {
-            let replica = &peer.replica;
+            let member = &peer.member;
             text.push_str(&format!(
                 "|{:?}{}{}{:?}",
-                replica.role(),
-                replica.term(),
-                replica.commit(),
-                replica.entries_after(1)
+                member.role(),
+                member.term(),
+                member.commit(),
+                member.entries_after(1)
             ));
         }
         let mut messages: Vec<String> =
@@ -187,7 +187,7 @@
     while !state.messages.is_empty() {
         state.apply(Step::Deliver(0));
     }
-    assert_eq!(state.peers[0].replica.role(), Role::Leader);
+    assert_eq!(state.peers[0].member.role(), Role::Leader);
     state.apply(Step::Propose(0));
     state.budget = BUDGET;
     state
--- a/crates/consensus/tests/group.rs
+++ b/crates/consensus/tests/group.rs
@@ -30,7 +30,7 @@
     network.isolate(old);
     let index = network.propose(old, b"lost");
     network.until("another leader", |network| network.leader().is_some_and(|id| id != old));
-    assert!(!network.peers[&old].replica.has_lease(network.now));
+    assert!(!network.peers[&old].member.has_lease(network.now));
     let others: Vec<u64> = [1, 2, 3].into_iter().filter(|id| *id != old).collect();
     network.commit(b"kept", &others);
     network.heal();
@@ -59,14 +59,14 @@
 fn a_reconnected_member_does_not_disturb_the_leader() {
     let mut network = Network::new(&[1, 2, 3]);
     let leader = network.elect();
-    let term = network.peers[&leader].replica.term();
+    let term = network.peers[&leader].member.term();
     let follower = [1, 2, 3].into_iter().find(|id| *id != leader).unwrap();
     network.isolate(follower);
     network.run(Duration::from_secs(10));
     network.heal();
     network.run(Duration::from_secs(3));
     assert_eq!(network.leader(), Some(leader));
-    assert_eq!(network.peers[&leader].replica.term(), term);
+    assert_eq!(network.peers[&leader].member.term(), term);
 }
 
 #[test]
@@ -101,8 +101,8 @@
         let limit = 200;
         for _ in 0..limit {
             let leader = network.elect();
-            let replica = &mut network.peers.get_mut(&leader).unwrap().replica;
-            match replica.propose_change(&change) {
+            let member = &mut network.peers.get_mut(&leader).unwrap().member;
+            match member.propose_change(&change) {
                 Ok(_) => return,
                 Err(ProposeError::ChangePending) => network.tick(),
                 Err(error) => panic!("{change:?}: {error:?}"),
@@ -113,13 +113,13 @@
     change(&mut network, MembershipChange::AddLearner(MemberId(9), info(9)));
     network.until("the learner has caught up", |network| {
         let leader = network.leader().unwrap_or(leader);
-        network.peers[&leader].replica.is_caught_up(MemberId(9), 0)
+        network.peers[&leader].member.is_caught_up(MemberId(9), 0)
     });
     change(&mut network, MembershipChange::Promote(MemberId(9)));
     change(&mut network, MembershipChange::Remove(MemberId(lost)));
     let left: Vec<u64> = network.peers.keys().copied().collect();
     network.commit(b"after", &left);
-    let voters = &network.peers[&leader].replica.membership().voters;
+    let voters = &network.peers[&leader].member.membership().voters;
     assert!(voters.contains_key(&MemberId(9)) && !voters.contains_key(&MemberId(lost)));
 }
 
@@ -128,9 +128,9 @@
     let mut network = Network::new(&[1, 2, 3]);
     network.commit(b"x", &[1, 2, 3]);
     let leader = network.elect();
-    let replica = &mut network.peers.get_mut(&leader).unwrap().replica;
-    replica.propose_change(&MembershipChange::AddLearner(MemberId(8), info(8))).unwrap();
-    let second = replica.propose_change(&MembershipChange::AddLearner(MemberId(9), info(9)));
+    let member = &mut network.peers.get_mut(&leader).unwrap().member;
+    member.propose_change(&MembershipChange::AddLearner(MemberId(8), info(8))).unwrap();
+    let second = member.propose_change(&MembershipChange::AddLearner(MemberId(9), info(9)));
     assert_eq!(second, Err(ProposeError::ChangePending));
 }
 
@@ -141,7 +141,7 @@
     let old = network.elect();
     network.run(Duration::from_millis(500));
     let now = network.now;
-    assert!(network.peers.get_mut(&old).unwrap().replica.transfer_leadership(now));
+    assert!(network.peers.get_mut(&old).unwrap().member.transfer_leadership(now));
     network.until("another leader", |network| network.leader().is_some_and(|id| id != old));
     let took = network.now.since(now);
     assert!(took < Duration::from_millis(400), "took {took:?}");
@@ -194,14 +194,14 @@
     let mut network = Network::new(&[1, 2, 3, 4, 5]);
     network.commit(b"before", &[1, 2, 3, 4, 5]);
     let leader = network.elect();
-    let term = network.peers[&leader].replica.term();
+    let term = network.peers[&leader].member.term();
     let others: Vec<u64> = [1, 2, 3, 4, 5].into_iter().filter(|id| *id != leader).collect();
     for _ in 0..5 {
         others.iter().for_each(|id| network.restart(*id, 0));
         network.run(Duration::from_millis(300));
     }
     assert_eq!(network.leader(), Some(leader));
-    assert_eq!(network.peers[&leader].replica.term(), term);
+    assert_eq!(network.peers[&leader].member.term(), term);
 }
 
 /// Random restarts, one-way and two-way partitions, and proposals. Each tick checks leases and
--- a/crates/wire/src/compression.rs
+++ b/crates/wire/src/compression.rs
@@ -39,7 +39,7 @@
 /// [`FrameError::Payload`] for invalid input, [`FrameError::Length`] if the payload is too large.
 pub fn decompress(compressed: &[u8]) -> Result<Vec<u8>, FrameError> {
     let Some((kind, rest)) = compressed.split_first() else {
-        return Err(FrameError::Payload("payload is empty".to_owned()));
+        return Err(FrameError::Payload("empty".to_owned()));
     };
     match *kind {
         PLAIN => Ok(rest.to_vec()),
