--- a/crates/consensus/src/record.rs
+++ b/crates/consensus/src/record.rs
@@ -71,7 +71,7 @@
     Some((record, length))
 }
 
-/// Tells a torn write from corruption: a torn write has no complete record after it.
+/// Distinguishes a torn write from corruption: a torn write has no complete record after it.
 fn classify_damage(bytes: &[u8], position: usize) -> Ending {
     let later = position + 1..bytes.len().saturating_sub(HEADER_LENGTH);
     for start in later {
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -198,7 +198,7 @@
         self.slots.get(&id).map(|slot| &self.replicas[*slot as usize])
     }
 
-    /// One replica's state, to note evidence.
+    /// Mutable state of a replica.
     pub fn replica_mut(&mut self, id: ReplicaId) -> Option<&mut ReplicaState> {
         self.slots.get(&id).map(|slot| &mut self.replicas[*slot as usize])
     }
