--- a/crates/gateway/src/balancer/candidates.rs
+++ b/crates/gateway/src/balancer/candidates.rs
@@ -1,6 +1,8 @@
-//! Which replicas may be asked, and what a request would cost at each.
+//! Lists the available replicas and estimates the cost of a request at each.
 
-use super::cost::{self, DELAY_PER_REQUEST_MS, DELAY_SHARE, OLD_WEIGHTS_MS, OTHER_ZONE_MS};
+use super::cost::{
+    self, DELAY_PER_REQUEST_MS, OLDER_WEIGHTS_MS, OTHER_ZONE_MS, SMOOTHED_DELAY_WEIGHT,
+};
 use super::replica::Replica;
 use super::view::PromptView;
 use super::{Balancer, ChoiceRequest};
@@ -11,28 +13,29 @@
 use topazmount_routing::Candidate;
 use topazmount_types::{InstanceId, ReplicaId, Time};
 
-/// A replica's places are counted as taken when this part of them is in use.
-const FULL_SHARE: f64 = 0.8;
-/// Wait for a place at a full replica, per request over its places, in milliseconds.
-const OVER_PLACE_MS: f64 = 16.0;
-/// Smallest difference between estimates, in milliseconds.
-const TIE_MS: f64 = 0.01;
+/// Share of a replica's slots in use above which requests are expected to queue.
+const QUEUEING_UTILIZATION: f64 = 0.8;
+/// Queueing cost per request above that share, in milliseconds.
+const QUEUEING_MS_PER_REQUEST: f64 = 16.0;
+/// Difference between estimates that are otherwise equal, in milliseconds.
+const TIE_BREAK_MS: f64 = 0.01;
 
 impl Balancer {
-    /// Replicas that may be asked: healthy ones, else those that failed lately.
-    pub(super) fn open_replicas(
+    /// Returns the replicas that may be sent a request: healthy ones if there are any, else
+    /// unpaused ones, else all.
+    pub(super) fn available_replicas(
         &self,
         request: &ChoiceRequest<'_>,
         shard: Option<Shard>,
         now: Time,
     ) -> Vec<InstanceId> {
         let may_serve = |replica: &&Replica| {
-            shard.is_none_or(|shard| shard.contains(replica.place))
-                && self.could_serve(replica, request, now)
-                && !self.wants_none(replica, now)
+            shard.is_none_or(|shard| shard.contains(replica.stable_id))
+                && self.is_eligible(replica, request, now)
+                && !self.is_unavailable(replica, now)
         };
         let mut serving: Vec<&Replica> = self.serving(request.service).filter(may_serve).collect();
-        // Weights that are not known may be too old.
+        // Replicas of unknown version may be outdated, so use them only if all are.
         let is_known = |replica: &&Replica| replica.version(request.model).is_some();
         if request.model.is_some() && serving.iter().any(is_known) {
             serving.retain(is_known);
@@ -50,40 +53,40 @@
         if unpaused.is_empty() { ids(&|_| true) } else { unpaused }
     }
 
-    /// Whether a replica may be asked, apart from what it asked of this process.
-    pub(super) fn could_serve(
+    /// Whether a replica may serve the request, pushback and request limits aside.
+    pub(super) fn is_eligible(
         &self,
         replica: &Replica,
         request: &ChoiceRequest<'_>,
         now: Time,
     ) -> bool {
-        replica.may_take(request)
-            && !replica.went_back(request, now)
+        replica.accepts(request)
+            && !replica.is_downgraded(request, now)
             && !self.is_outdated(replica, request.model)
     }
 
     pub(super) fn candidates(
         &mut self,
-        open: &[InstanceId],
+        available: &[InstanceId],
         request: &ChoiceRequest<'_>,
         view: &PromptView,
         now: Time,
     ) -> Vec<Candidate> {
         let ranks: HashMap<&InstanceId, usize> = view.homes.iter().zip(0..).collect();
-        let home = view.homes.iter().find(|id| open.contains(*id));
-        let is_unknown = view.kept.is_empty() && view.coming.is_empty();
+        let home = view.homes.iter().find(|id| available.contains(*id));
+        let is_uncached = view.cached.is_empty() && view.pending.is_empty();
         let version_of = |id: &InstanceId| self.replicas[id].version(request.model);
         let rate = self.prefill_rate(request.service);
-        let is_placed_anew = self.has_coordinators && view.is_nowhere_whole(request);
-        let newest = open.iter().filter_map(version_of).max();
-        let mut candidates: Vec<Candidate> = Vec::with_capacity(open.len());
-        for (position, id) in open.iter().enumerate() {
+        let ignores_cached_prefix = self.has_coordinators && view.has_no_full_copy(request);
+        let newest = available.iter().filter_map(version_of).max();
+        let mut candidates: Vec<Candidate> = Vec::with_capacity(available.len());
+        for (position, id) in available.iter().enumerate() {
             let replica = &self.replicas[id];
             let mut candidate = self.candidate(replica, position, rate, now);
             candidate.home_rank = ranks.get(id).map_or(0, |rank| *rank as u32);
             if let Some(prompt) = request.prompt {
-                let depth = view.known_parts(replica.slot);
-                let is_home = is_unknown && home == Some(id);
+                let depth = view.cached_or_pending_parts(replica.slot);
+                let is_home = is_uncached && home == Some(id);
                 let source = self.source(replica, request, view, now);
                 let source = source.as_ref();
                 cost::add_prompt(
@@ -95,22 +98,21 @@
                     source,
                     rate,
                 );
-                if is_placed_anew {
-                    // What shallow parts save once must not decide where the deep ones stay: their
-                    // holders would become the homes of all prompts that begin alike. Late answers of
-                    // two paired plays of 8 and 12 s: 522 and 528 before, 303 and 411 after.
+                if ignores_cached_prefix {
+                    // Ignores short cached prefixes: otherwise the replicas that have them would
+                    // attract all prompts that begin alike.
                     candidate.prefill_ms = f64::from(prompt.prompt_tokens) / rate;
                 }
                 if version_of(id) < newest {
-                    candidate.network_ms += OLD_WEIGHTS_MS;
+                    candidate.network_ms += OLDER_WEIGHTS_MS;
                 }
             }
             candidates.push(candidate);
         }
-        // Equal estimates must not all go to the first replica of the list.
-        let favoured = self.rng.random_range(0..candidates.len().max(1));
-        if let Some(one) = candidates.get_mut(favoured) {
-            one.network_ms -= TIE_MS;
+        // Breaks ties at random, so that equal estimates don't all pick the first replica.
+        let favored = self.rng.random_range(0..candidates.len().max(1));
+        if let Some(candidate) = candidates.get_mut(favored) {
+            candidate.network_ms -= TIE_BREAK_MS;
         }
         candidates
     }
@@ -120,14 +122,15 @@
         let in_flight = replica.all_in_flight(now);
         let queue_ms = f64::from(in_flight) * DELAY_PER_REQUEST_MS
             + replica.waiting_tokens(now) as f64 / rate
-            + DELAY_SHARE * replica.delay_ms(now);
-        let over = f64::from(in_flight) - FULL_SHARE * f64::from(replica.instance.slots);
+            + SMOOTHED_DELAY_WEIGHT * replica.delay_ms(now);
+        let excess =
+            f64::from(in_flight) - QUEUEING_UTILIZATION * f64::from(replica.instance.slots);
         Candidate {
             replica: ReplicaId(u64::from(replica.slot)),
             position: position as u32,
             is_local,
             in_flight: replica.in_flight,
-            queue_ms: queue_ms + over.max(0.0) * OVER_PLACE_MS,
+            queue_ms: queue_ms + excess.max(0.0) * QUEUEING_MS_PER_REQUEST,
             network_ms: if is_local { 0.0 } else { OTHER_ZONE_MS },
             ..Candidate::default()
         }
--- a/crates/gateway/src/balancer/mod.rs
+++ b/crates/gateway/src/balancer/mod.rs
@@ -1,34 +1,36 @@
-//! Which replica a forwarded request goes to.
+//! Chooses the replica that a forwarded request goes to.
 //!
-//! A [`Balancer`] lists candidates with what each would cost, and the policies choose. For prompts
-//! the cost is that of reading what the replica lacks; who holds what and how much waits where is
-//! known from this node's own requests and from the [`LoadUpdate`] of other nodes. Prompts that
-//! nobody is known to hold meet at their homes, which all nodes find alike.
+//! The [`Balancer`] estimates the cost of a request at each candidate, and the routing policies
+//! choose among them. For prompts the cost includes the prefill of all parts that the replica has
+//! not cached. Cache contents and load are known from this node's own requests and from the
+//! [`LoadUpdate`]s of other nodes. Each prompt has a home order of replicas, computed alike by all
+//! nodes, so that prompts that are cached nowhere are sent to the same replica.
 
+mod cache_records;
 mod candidates;
 mod choice;
 mod cost;
-mod holders;
 mod incarnations;
-mod news;
+mod leaderless;
+mod load_update;
 mod progress;
 mod pushback;
 mod replica;
 mod sharded;
 mod source;
-mod unled;
 mod view;
 
 use crate::estimator::PrefillEstimator;
 use crate::shards::Shard;
 use crate::stores::{Stores, cache_salt};
-use choice::shared_of;
+use cache_records::CacheRecords;
+use choice::shared_prefix;
 pub use choice::{Choice, ChoiceRequest};
-use cost::PREFILL_PRIOR;
-use holders::Holders;
+use cost::DEFAULT_TOKENS_PER_MS;
 pub use incarnations::{DOWNGRADE_PAUSE, ReplicaChange, ReplicaChanges, VersionRefusal};
-pub use news::{LoadUpdate, MIN_UPDATE_TOKENS, PromptEvent};
-pub(crate) use pushback::key_of;
+use leaderless::LeaderlessBounds;
+pub use load_update::{LoadUpdate, MIN_UPDATE_TOKENS, PromptEvent};
+pub(crate) use pushback::incarnation_hash;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use replica::Replica;
@@ -37,35 +39,35 @@
 use topazmount_admission::{Pushbacks, RequestLimits};
 use topazmount_routing::PolicyTable;
 use topazmount_types::{Incarnation, InstanceId, Time};
-use unled::Unled;
 
-/// Age up to which what a replica read is taken from it where settings do not say it.
-pub(crate) const SURELY_KEPT: Duration = Duration::from_millis(1_500);
+/// Default of [`GatewaySettings::reliable_cache_age`](crate::GatewaySettings).
+pub(crate) const DEFAULT_RELIABLE_CACHE_AGE: Duration = Duration::from_millis(1_500);
 
-/// One node's knowledge of the replicas, and its choice among them.
+/// One node's records of the replicas, and its choice among them.
 pub struct Balancer {
     zone: String,
     replicas: BTreeMap<InstanceId, Replica>,
     by_slot: HashMap<u32, InstanceId>,
-    by_key: HashMap<u64, InstanceId>,
-    holders: Holders,
-    /// Newest version named for each model; it only rises.
-    named: HashMap<String, u32>,
-    /// What this node may count for itself while nobody leads.
-    unled: Unled,
-    /// Oldest version of each model's weights that may begin on requests.
-    oldest: HashMap<String, u32>,
+    by_incarnation: HashMap<u64, InstanceId>,
+    cache_records: CacheRecords,
+    /// Newest published version of each model; never decreases.
+    published: HashMap<String, u32>,
+    /// Detects outdated weights while the control group is leaderless.
+    leaderless: LeaderlessBounds,
+    /// Oldest version of each model that may still start requests; never decreases.
+    min_versions: HashMap<String, u32>,
     stores: Stores,
-    /// Age up to which a replica almost surely holds what it was seen to read or use. Later a store
-    /// is the better source, although its link is slower.
-    surely_kept: Duration,
-    /// Rates at which engines read, by service.
-    prefill: HashMap<String, PrefillEstimator>,
-    /// Whether gateways are so many that coordinators place prompts.
+    /// Age up to which a cache record is relied on. For older records a store is the preferred
+    /// source, although its link is slower.
+    reliable_cache_age: Duration,
+    /// Prefill rate estimates, by service.
+    prefill_estimators: HashMap<String, PrefillEstimator>,
+    /// Whether coordinators place prompts, as there are too many gateways to broadcast load
+    /// updates.
     has_coordinators: bool,
-    /// What incarnations asked of this process.
+    /// Pushback received from replicas, by incarnation.
     pushbacks: Pushbacks,
-    /// Limits that incarnations named.
+    /// Request limits reported by replicas, by incarnation.
     limits: RequestLimits,
     next_slot: u32,
     rng: ChaCha8Rng,
@@ -73,20 +75,20 @@
 }
 
 impl Balancer {
-    /// A balancer of a node in a zone.
+    /// Creates an empty balancer for a node in the given zone.
     pub fn new(zone: &str, seed: u64) -> Self {
         Balancer {
             zone: zone.to_owned(),
             replicas: BTreeMap::new(),
             by_slot: HashMap::new(),
-            by_key: HashMap::new(),
-            holders: Holders::default(),
-            named: HashMap::new(),
-            unled: Unled::default(),
-            oldest: HashMap::new(),
+            by_incarnation: HashMap::new(),
+            cache_records: CacheRecords::default(),
+            published: HashMap::new(),
+            leaderless: LeaderlessBounds::default(),
+            min_versions: HashMap::new(),
             stores: Stores::default(),
-            surely_kept: SURELY_KEPT,
-            prefill: HashMap::new(),
+            reliable_cache_age: DEFAULT_RELIABLE_CACHE_AGE,
+            prefill_estimators: HashMap::new(),
             has_coordinators: false,
             pushbacks: Pushbacks::default(),
             limits: RequestLimits::default(),
@@ -96,9 +98,9 @@
         }
     }
 
-    /// Sets the age up to which a replica almost surely holds what it was seen to read or use.
+    /// Sets the age up to which a cache record is relied on.
     pub fn set_reliable_cache_age(&mut self, age: Duration) {
-        self.surely_kept = age;
+        self.reliable_cache_age = age;
     }
 
     /// Replicas of a service.
@@ -106,7 +108,7 @@
         self.replicas.values().filter(move |replica| replica.instance.service == service)
     }
 
-    /// Chooses a replica, or none when no replica of the service may be asked.
+    /// Chooses a replica; `None` when none of the service is available.
     pub fn choose(
         &mut self,
         request: &ChoiceRequest<'_>,
@@ -116,7 +118,7 @@
         self.choose_in_shard(request, None, now, policies)
     }
 
-    /// Chooses a replica of one shard, or of the whole service.
+    /// Chooses a replica of one shard, or of the whole service where `shard` is `None`.
     pub(crate) fn choose_in_shard(
         &mut self,
         request: &ChoiceRequest<'_>,
@@ -125,20 +127,20 @@
         policies: &mut PolicyTable,
     ) -> Option<Choice> {
         self.sequence += 1;
-        let open = self.open_replicas(request, shard, now);
-        if open.is_empty() {
+        let available = self.available_replicas(request, shard, now);
+        if available.is_empty() {
             return None;
         }
-        let chain = request.chain();
-        let view = self.prompt_view(request, shared_of(&chain), shard, now);
-        let candidates = self.candidates(&open, request, &view, now);
-        let route_request = request.as_policies_see_it(&chain, self.sequence);
+        let prefix_hashes = request.prefix_hashes();
+        let view = self.prompt_view(request, shared_prefix(&prefix_hashes), shard, now);
+        let candidates = self.candidates(&available, request, &view, now);
+        let route_request = request.route_request(&prefix_hashes, self.sequence);
         let policy = policies.assign(&route_request);
         let position = policies.choose(policy, &route_request, &candidates)?;
         let candidate = candidates.get(position)?;
-        let replica = &self.replicas[&open[position]];
+        let replica = &self.replicas[&available[position]];
         let source = self.source(replica, request, &view, now);
-        let known_parts = view.known_parts(replica.slot);
+        let known_parts = view.cached_or_pending_parts(replica.slot);
         Some(Choice {
             instance: replica.instance.clone(),
             expected_prefill: route_request.prompt_tokens.saturating_sub(candidate.cached_tokens),
@@ -147,30 +149,32 @@
             policy,
             home_rank: candidate.home_rank,
             has_empty_queue: replica.waiting_tokens(now) == 0,
-            slot_utilization: replica.taken_share(now),
-            version: self.version_to_name(replica.version(request.model), request, now),
-            required_version: self.expected(replica.version(request.model), request, now),
+            slot_utilization: replica.slot_utilization(now),
+            version: self.version_to_request(replica.version(request.model), request, now),
+            required_version: self.required_version(replica.version(request.model), request, now),
             source: source.map(|source| source.address),
             save_to: None,
-            limit: self.limits.limit(replica.key.0),
+            limit: self.limits.limit(replica.incarnation_id.0),
             has_prompt: request.prompt.is_some(),
             slot: replica.slot,
         })
     }
 
-    /// Rate at which the engines of a service read prompts, in tokens a millisecond.
+    /// Estimated prefill rate of a service's engines, in tokens per millisecond.
     pub fn prefill_rate(&self, service: &str) -> f64 {
-        self.prefill.get(service).map_or(PREFILL_PRIOR, PrefillEstimator::tokens_per_ms)
+        self.prefill_estimators
+            .get(service)
+            .map_or(DEFAULT_TOKENS_PER_MS, PrefillEstimator::tokens_per_ms)
     }
 
-    /// Stores of prompt parts.
+    /// Known stores of prompt parts.
     pub fn stores(&mut self) -> &mut Stores {
         &mut self.stores
     }
 
-    /// The store to which the chosen replica should send the prompt's parts, if any. A replica with
-    /// older weights than another one holds is about to load: a run that outlasts the load would save
-    /// parts made with the new weights under the old salt.
+    /// Selects the store that the chosen replica should save the prompt's parts to, if any. A
+    /// replica with older weights than another one may load new ones during the run, and would then
+    /// save parts computed with the new weights under the salt of the old version.
     pub fn select_store(
         &mut self,
         choice: &Choice,
@@ -179,8 +183,10 @@
         now: Time,
     ) -> Option<String> {
         let prompt = request.prompt?;
-        let newest =
-            self.serving(request.service).filter_map(|one| one.version(request.model)).max();
+        let newest = self
+            .serving(request.service)
+            .filter_map(|replica| replica.version(request.model))
+            .max();
         if choice.version < newest {
             return None;
         }
@@ -188,21 +194,21 @@
         self.stores.select_for_save(prompt, shard, &salt, now)
     }
 
-    /// Whether the policy that decides on the request lets it run.
+    /// Whether the routing policy admits the request.
     pub fn admits(&self, request: &ChoiceRequest<'_>, policies: &mut PolicyTable) -> bool {
-        let chain = request.chain();
-        let route_request = request.as_policies_see_it(&chain, self.sequence + 1);
+        let prefix_hashes = request.prefix_hashes();
+        let route_request = request.route_request(&prefix_hashes, self.sequence + 1);
         let policy = policies.assign(&route_request);
         policies.admit(policy, &route_request)
     }
 
-    /// Whether any replica may be asked; nothing is counted.
+    /// Whether any replica is available for the request. Does not count as a routing decision.
     pub fn has_available_replica(&self, request: &ChoiceRequest<'_>, now: Time) -> bool {
-        !self.open_replicas(request, None, now).is_empty()
+        !self.available_replicas(request, None, now).is_empty()
     }
 
-    /// What other nodes should know of a prompt. Where each tells all others, short prompts are not
-    /// worth a message, nor is their end.
+    /// Builds the update to send to other nodes about a prompt; `None` for short prompts where
+    /// updates are broadcast.
     pub fn load_update(
         &self,
         choice: &Choice,
@@ -214,21 +220,26 @@
         if !self.has_coordinators && !is_long {
             return None;
         }
-        let parts = request.shared();
-        self.news_of(choice, parts, event)
+        let parts = request.shared_hashes();
+        self.build_update(choice, parts, event)
     }
 
-    /// What other nodes should know after a prompt ended.
+    /// Builds the update to send to other nodes after a prompt ended.
     pub fn end_update(&self, choice: &Choice, event: PromptEvent) -> Option<LoadUpdate> {
-        let is_told = self.has_coordinators && choice.has_prompt;
-        is_told.then(|| self.news_of(choice, Vec::new(), event)).flatten()
+        let is_sent = self.has_coordinators && choice.has_prompt;
+        is_sent.then(|| self.build_update(choice, Vec::new(), event)).flatten()
     }
 
-    fn news_of(&self, choice: &Choice, parts: Vec<u64>, event: PromptEvent) -> Option<LoadUpdate> {
+    fn build_update(
+        &self,
+        choice: &Choice,
+        parts: Vec<u64>,
+        event: PromptEvent,
+    ) -> Option<LoadUpdate> {
         let replica = self.chosen(choice)?;
         Some(LoadUpdate {
             node: 0,
-            replica: replica.key.0,
+            replica: replica.incarnation_id.0,
             pending_prefill: replica.pending_prefill,
             in_flight: replica.in_flight,
             version: choice.version?,
@@ -237,20 +248,22 @@
         })
     }
 
-    /// Takes another node's word.
-    pub fn apply_load_update(&mut self, news: &LoadUpdate, now: Time) {
-        let Some(id) = self.by_key.get(&news.replica) else { return };
+    /// Applies a load update from another node.
+    pub fn apply_load_update(&mut self, update: &LoadUpdate, now: Time) {
+        let Some(id) = self.by_incarnation.get(&update.replica) else { return };
         let Some(replica) = self.replicas.get_mut(id) else { return };
-        replica.note_peer(news.node, news.pending_prefill, news.in_flight, now);
-        let incarnation: Incarnation = replica.incarnation(news.version);
-        match news.event {
-            PromptEvent::Sent => self.holders.sent(&news.parts, replica.slot, incarnation, now),
+        replica.record_peer_load(update.node, update.pending_prefill, update.in_flight, now);
+        let incarnation: Incarnation = replica.incarnation(update.version);
+        match update.event {
+            PromptEvent::Sent => {
+                self.cache_records.on_sent(&update.parts, replica.slot, incarnation, now)
+            }
             PromptEvent::Prefilled => {
-                replica.heard_at = now;
-                self.holders.read(&news.parts, replica.slot, incarnation, now);
+                replica.last_response_at = now;
+                self.cache_records.on_prefilled(&update.parts, replica.slot, incarnation, now);
             }
             PromptEvent::Ended => {}
-            PromptEvent::Failed => replica.note_failure_elsewhere(now),
+            PromptEvent::Failed => replica.record_remote_failure(now),
         }
     }
 }
--- a/crates/gateway/src/balancer/progress.rs
+++ b/crates/gateway/src/balancer/progress.rs
@@ -1,16 +1,16 @@
-//! What requests teach of the replicas that they were sent to. Each counts for the incarnation that it was sent to, and
-//! for none after it.
+//! Records the progress of requests at their replicas. Each event only affects the incarnation that
+//! the request was sent to.
 
 use super::choice::{Choice, ChoiceRequest};
 use super::replica::Replica;
-use super::{Balancer, PREFILL_PRIOR};
+use super::{Balancer, DEFAULT_TOKENS_PER_MS};
 use crate::estimator::PrefillEstimator;
 use std::time::Duration;
 use topazmount_control::Availability;
 use topazmount_types::Time;
 
 impl Balancer {
-    /// The replica of a choice, while its incarnation is the one that is known.
+    /// The replica of a choice, if its incarnation is still the current one.
     pub(super) fn chosen(&self, choice: &Choice) -> Option<&Replica> {
         self.replicas.get(&choice.instance.id).filter(|replica| replica.slot == choice.slot)
     }
@@ -20,18 +20,18 @@
         replica.filter(|replica| replica.slot == choice.slot)
     }
 
-    /// Notes that a request was sent to its choice.
+    /// Records that a request was sent to its choice.
     pub fn on_sent(&mut self, choice: &Choice, request: &ChoiceRequest<'_>, now: Time) {
         let Some(replica) = self.chosen_mut(choice) else { return };
         replica.in_flight += 1;
         replica.pending_prefill += u64::from(choice.expected_prefill);
         if let Some(version) = choice.version {
             let incarnation = replica.incarnation(version);
-            self.holders.sent(&request.shared(), choice.slot, incarnation, now);
+            self.cache_records.on_sent(&request.shared_hashes(), choice.slot, incarnation, now);
         }
     }
 
-    /// Notes the first token of a request, `waited` after it was sent: its prompt is read.
+    /// Records the first token of a request, `waited` after it was sent.
     pub fn on_first_token(
         &mut self,
         choice: &Choice,
@@ -41,24 +41,30 @@
     ) {
         let waited_ms = waited.as_secs_f64() * 1_000.0;
         if choice.has_empty_queue && request.prompt.is_some() {
-            let estimate = self.prefill.entry(request.service.to_owned());
-            let estimate = estimate.or_insert_with(|| PrefillEstimator::new(PREFILL_PRIOR));
-            estimate.record(choice.expected_prefill, waited_ms);
+            let estimator = self.prefill_estimators.entry(request.service.to_owned());
+            let estimator =
+                estimator.or_insert_with(|| PrefillEstimator::new(DEFAULT_TOKENS_PER_MS));
+            estimator.record(choice.expected_prefill, waited_ms);
         }
         let expected_ms = f64::from(choice.expected_prefill) / self.prefill_rate(request.service);
         let Some(replica) = self.chosen_mut(choice) else { return };
         let expected = u64::from(choice.expected_prefill);
         replica.pending_prefill = replica.pending_prefill.saturating_sub(expected);
-        replica.note_delay((waited_ms - expected_ms).max(0.0), now);
-        replica.heard_at = now;
+        replica.record_delay((waited_ms - expected_ms).max(0.0), now);
+        replica.last_response_at = now;
         if let Some(version) = choice.version {
             let incarnation = replica.incarnation(version);
-            self.holders.read(&request.shared(), choice.slot, incarnation, now);
+            self.cache_records.on_prefilled(
+                &request.shared_hashes(),
+                choice.slot,
+                incarnation,
+                now,
+            );
         }
     }
 
-    /// Notes that a request no longer occupies its choice. `has_first_token` tells whether
-    /// [`Balancer::first_token`] was called for it.
+    /// Records that a request ended. `has_first_token` tells whether [`Balancer::on_first_token`]
+    /// was called for it.
     pub fn on_ended(&mut self, choice: &Choice, has_first_token: bool) {
         let Some(replica) = self.chosen_mut(choice) else { return };
         replica.in_flight = replica.in_flight.saturating_sub(1);
@@ -68,75 +74,74 @@
         }
     }
 
-    /// Requests of this node at the replica that is known under an identifier, and their prompt tokens without a first
-    /// token.
+    /// This node's requests in flight at a replica, and their prompt tokens without a first token.
     pub fn load(&self, id: &str) -> Option<(u32, u64)> {
         self.replicas.get(id).map(|replica| (replica.in_flight, replica.pending_prefill))
     }
 
-    /// Takes the version that a replica named with an answer.
+    /// Records the version that a replica reported with a response.
     pub fn record_version(&mut self, choice: &Choice, model: &str, version: u32) {
         if let Some(replica) = self.chosen_mut(choice) {
-            replica.note_version(model, version);
+            replica.record_version(model, version);
         }
     }
 
-    /// Notes that a replica holds other weights than was believed.
+    /// Drops the recorded version of a replica that turned out to have another one.
     pub fn forget_version(&mut self, choice: &Choice, model: &str) {
         if let Some(replica) = self.chosen_mut(choice) {
             replica.forget_version(model);
         }
     }
 
-    /// Whether a replica must not begin on requests any more: its weights are too old. What runs at an earlier
-    /// incarnation is not judged by the next one's weights.
+    /// Whether the chosen incarnation is excluded from routing, as its weights are too old.
     pub fn is_excluded(&self, choice: &Choice) -> bool {
         let replica = self.chosen(choice);
         replica.is_some_and(|replica| replica.availability == Availability::Barred)
     }
 
-    /// Whether a replica sent anything after a moment.
+    /// Whether the chosen replica sent anything after a moment.
     pub fn has_responded_since(&self, choice: &Choice, since: Time) -> bool {
-        self.chosen(choice).is_some_and(|replica| replica.heard_at > since)
+        self.chosen(choice).is_some_and(|replica| replica.last_response_at > since)
     }
 
-    /// Whether a replica has said that it leaves, or had when the next incarnation took its place.
+    /// Whether the chosen incarnation is draining, or was when the next one replaced it.
     pub fn is_leaving(&self, choice: &Choice, now: Time) -> bool {
         if self.pushbacks.is_leaving(&choice.instance.incarnation_name(), now) {
             return true;
         }
         let Some(replica) = self.replicas.get(&choice.instance.id) else { return false };
-        let had_said = (choice.instance.start, true);
+        let was_draining = (choice.instance.start, true);
         match replica.instance.start == choice.instance.start {
             true => replica.instance.is_draining,
-            false => replica.earlier == Some(had_said),
+            false => replica.previous == Some(was_draining),
         }
     }
 
-    /// Whether another incarnation is where the choice was.
+    /// Whether another incarnation has replaced the chosen one.
     pub fn has_ended(&self, choice: &Choice) -> bool {
         let replica = self.replicas.get(&choice.instance.id);
         replica.is_some_and(|replica| replica.instance.start != choice.instance.start)
     }
 
-    /// Notes that a replica answered as it should.
+    /// Records a successful response.
     pub fn on_success(&mut self, choice: &Choice, now: Time) {
         if let Some(replica) = self.chosen_mut(choice) {
-            replica.note_success(now);
+            replica.record_success(now);
         }
     }
 
-    /// Notes that a replica failed; it is passed over for a while.
+    /// Records a failure; the replica is avoided for a while.
     pub fn on_failure(&mut self, choice: &Choice, now: Time) {
         if let Some(replica) = self.chosen_mut(choice) {
-            replica.note_failure(now);
+            replica.record_failure(now);
         }
     }
 
-    /// Notes that another replica has the address; it is passed over for the longest time.
+    /// Records that another replica uses the address; the chosen one is avoided for the longest
+    /// suspicion time.
     pub fn on_address_reused(&mut self, choice: &Choice, now: Time) {
         if let Some(replica) = self.chosen_mut(choice) {
-            replica.note_replaced(now);
+            replica.record_address_reused(now);
         }
     }
 }
--- a/crates/gateway/src/balancer/pushback.rs
+++ b/crates/gateway/src/balancer/pushback.rs
@@ -1,4 +1,4 @@
-//! What replicas asked of this process, and what follows for choices among them.
+//! Pushback and request limits of replicas, and their effect on choices.
 
 use super::Balancer;
 use super::choice::{Choice, ChoiceRequest};
@@ -11,19 +11,24 @@
 use topazmount_types::{Instance, ReplicaId, Time};
 
 impl Balancer {
-    /// Changes how long what replicas ask is believed.
+    /// Sets how long pushback is honored.
     pub fn set_pushback_settings(&mut self, cfg: PushbackSettings) {
         self.pushbacks.set(cfg);
     }
 
-    /// Takes what an answer asks that came from where the chosen incarnation was. One that has ended asks nothing of the
-    /// next; but what comes after the next one's start is that one's.
-    pub fn record_pushback(&mut self, choice: &Choice, said: Pushback, now: Time) -> Option<Heard> {
-        let name = self.answering(choice, now)?.incarnation_name();
-        self.pushbacks.hear(&name, said, now)
+    /// Records the pushback in a response. Pushback of an ended incarnation does not affect the
+    /// next one; a response received after the next one's start counts as the next one's.
+    pub fn record_pushback(
+        &mut self,
+        choice: &Choice,
+        pushback: Pushback,
+        now: Time,
+    ) -> Option<Heard> {
+        let name = self.responding_incarnation(choice, now)?.incarnation_name();
+        self.pushbacks.hear(&name, pushback, now)
     }
 
-    /// Takes what an answer says of its replica's limit; the request was sent at `sent_at`.
+    /// Records the limit in a response to a request that was sent at `sent_at`.
     pub fn record_limit(
         &mut self,
         choice: &Choice,
@@ -31,12 +36,12 @@
         sent_at: Time,
         now: Time,
     ) -> Option<LimitChange> {
-        let key = key_of(self.answering(choice, now)?);
+        let key = incarnation_hash(self.responding_incarnation(choice, now)?);
         self.limits.hear(key, limit, sent_at, now)
     }
 
-    /// The incarnation that answers where the chosen one was; `None` where the answer is of one that has ended.
-    fn answering<'a>(&'a self, choice: &'a Choice, now: Time) -> Option<&'a Instance> {
+    /// The incarnation that a response comes from; `None` if that incarnation has ended.
+    fn responding_incarnation<'a>(&'a self, choice: &'a Choice, now: Time) -> Option<&'a Instance> {
         let known = self.replicas.get(&choice.instance.id).map(|replica| &replica.instance);
         match known.filter(|known| known.start != choice.instance.start) {
             None => Some(&choice.instance),
@@ -44,63 +49,72 @@
         }
     }
 
-    /// The limit that the chosen replica names now.
+    /// The current request limit of the chosen replica.
     pub fn limit_of(&self, choice: &Choice) -> Option<RequestLimit> {
-        self.limits.limit(key_of(&choice.instance))
+        self.limits.limit(incarnation_hash(&choice.instance))
     }
 
-    /// Limits that replicas name.
+    /// Request limits of all replicas.
     pub(crate) fn limits(&mut self) -> &mut RequestLimits {
         &mut self.limits
     }
 
-    /// How many replicas name a limit.
+    /// Number of replicas that report a request limit.
     pub fn limited_count(&self) -> usize {
         self.limits.count()
     }
 
-    /// How many replicas rest by what they asked of this process, and how many leave.
+    /// Number of replicas in backoff, and number of leaving ones.
     pub fn pushback_counts(&self, now: Time) -> (usize, usize) {
         self.pushbacks.counts(now)
     }
 
-    /// Whether a request may be sent to its choice at this moment: it may have asked for rest since it was chosen, or have
-    /// ended, so that the next incarnation would get what was never weighed for it.
+    /// Whether a request may be sent to its choice now: the replica may have pushed back or ended
+    /// since it was chosen.
     pub fn may_send(&self, choice: &Choice, now: Time) -> bool {
         !self.has_ended(choice) && self.pushbacks.may_call(&choice.instance.incarnation_name(), now)
     }
 
-    pub(super) fn wants_none(&self, replica: &Replica, now: Time) -> bool {
+    pub(super) fn is_unavailable(&self, replica: &Replica, now: Time) -> bool {
         !self.pushbacks.may_call(&replica.name, now)
-            || self.limits.spent_for(replica.key.0, now).is_some()
+            || self.limits.spent_for(replica.incarnation_id.0, now).is_some()
     }
 
-    /// Names of the replicas of a shard that this process must not call; another one can't know of them.
-    pub(crate) fn unwilling(&self, service: &str, shard: Shard, now: Time) -> Vec<String> {
+    /// Names of a shard's replicas that are unavailable to this node, which a coordinator can't
+    /// know.
+    pub(crate) fn unavailable_replicas(
+        &self,
+        service: &str,
+        shard: Shard,
+        now: Time,
+    ) -> Vec<String> {
         if self.pushbacks.is_empty() && self.limits.count() == 0 {
             return Vec::new();
         }
-        let in_shard = self.serving(service).filter(|one| shard.contains(one.place));
-        in_shard.filter(|one| self.wants_none(one, now)).map(|one| one.name.clone()).collect()
+        let in_shard = self.serving(service).filter(|replica| shard.contains(replica.stable_id));
+        in_shard
+            .filter(|replica| self.is_unavailable(replica, now))
+            .map(|replica| replica.name.clone())
+            .collect()
     }
 
-    /// Time until the first replica that could otherwise be sent a request has rested, or may be sent one within its limit;
-    /// `None` where one may be sent it now, or none of them will.
+    /// Time until the first eligible replica is available again; `None` if one is available now, or
+    /// none will be.
     pub fn time_until_available(&self, request: &ChoiceRequest<'_>, now: Time) -> Option<Duration> {
         if self.has_available_replica(request, now) {
             return None;
         }
-        let could_serve = |replica: &&Replica| self.could_serve(replica, request, now);
-        let serving = self.serving(request.service).filter(could_serve);
-        let free_in = |one: &Replica| {
-            let rests_for = self.pushbacks.rests_for(&one.name, now);
-            rests_for.max(self.limits.spent_for(one.key.0, now))
+        let is_eligible = |replica: &&Replica| self.is_eligible(replica, request, now);
+        let serving = self.serving(request.service).filter(is_eligible);
+        let available_in = |replica: &Replica| {
+            let backoff = self.pushbacks.rests_for(&replica.name, now);
+            backoff.max(self.limits.spent_for(replica.incarnation_id.0, now))
         };
-        serving.filter_map(free_in).min()
+        serving.filter_map(available_in).min()
     }
 }
 
-/// Hash of an incarnation's name, by which gateways speak of it.
-pub(crate) fn key_of(instance: &Instance) -> u64 {
+/// Hash of an incarnation's name, which identifies it among gateways.
+pub(crate) fn incarnation_hash(instance: &Instance) -> u64 {
     ReplicaId::from_name(&instance.incarnation_name()).0
 }
--- a/crates/gateway/src/balancer/replica.rs
+++ b/crates/gateway/src/balancer/replica.rs
@@ -1,4 +1,4 @@
-//! What a node knows of one replica.
+//! A node's records of one replica.
 
 use super::{ChoiceRequest, ReplicaChange};
 use std::collections::HashMap;
@@ -9,16 +9,16 @@
 
 /// Weight of a new observation in a replica's smoothed delay.
 const DELAY_GAIN: f64 = 0.4;
-/// Time after which an observed delay counts half.
+/// Half-life of an observed delay.
 const DELAY_HALF_LIFE: Duration = Duration::from_millis(700);
-/// First time for which a replica that failed is passed over; doubled with each further failure.
-const FIRST_SUSPICION: Duration = Duration::from_millis(500);
-/// Longest such time.
-const LONGEST_SUSPICION: Duration = Duration::from_secs(4);
-/// Age after which another node's word on its load counts nothing.
-const PEER_LOAD_AGE: Duration = Duration::from_secs(3);
-
-/// What another node has under way at a replica.
+/// Time for which a replica is avoided after a first failure; doubled with each further one.
+const MIN_SUSPICION: Duration = Duration::from_millis(500);
+/// Longest time for which a replica is avoided after a failure.
+const MAX_SUSPICION: Duration = Duration::from_secs(4);
+/// Age after which another node's load update is ignored.
+const MAX_PEER_LOAD_AGE: Duration = Duration::from_secs(3);
+
+/// Load of another node at a replica.
 #[derive(Clone, Copy, Debug)]
 struct PeerLoad {
     pending_prefill: u64,
@@ -31,32 +31,31 @@
     pub(super) instance: Instance,
     /// Name of this incarnation.
     pub(super) name: String,
-    /// Its name among nodes, which number replicas differently. It names the incarnation, so that word of an earlier one
-    /// counts nothing for this one.
-    pub(super) key: ReplicaId,
-    /// What it is where prompts and shards find their replicas: by the identifier alone, so that a restart, which changes
-    /// nothing of where it stands, moves no prompt and no shard, and nodes that have not heard of it yet agree.
-    pub(super) place: ReplicaId,
-    /// Number of this incarnation here; never used again.
+    /// Identifies the incarnation among nodes, so that updates about an earlier one are ignored.
+    pub(super) incarnation_id: ReplicaId,
+    /// Position in home orders and shards. It depends on the replica's identifier alone, so that a
+    /// restart moves no prompt or shard.
+    pub(super) stable_id: ReplicaId,
+    /// Number of this incarnation at this node; never reused.
     pub(super) slot: u32,
-    /// This node's requests there.
+    /// This node's requests in flight.
     pub(super) in_flight: u32,
-    /// Prompt tokens of this node's requests there that have no first token yet.
+    /// Prompt tokens of this node's requests without a first token.
     pub(super) pending_prefill: u64,
     pub(super) availability: Availability,
     pub(super) models: Vec<LoadedModel>,
-    /// The latest correction by which its models were replaced.
+    /// Latest correction that replaced its models.
     pub(super) correction: (Term, u32),
-    /// Until when no request for a model goes there: it was found to hold older weights than was believed.
-    pub(super) went_back_until: Time,
-    /// The incarnation before it under its identifier, and whether that had said that it leaves.
-    pub(super) earlier: Option<(Start, bool)>,
-    /// When anything was last received from it.
-    pub(super) heard_at: Time,
+    /// Time until which it gets no request for a model, as it had older weights than recorded.
+    pub(super) downgraded_until: Time,
+    /// Start of the previous incarnation, and whether that one was draining.
+    pub(super) previous: Option<(Start, bool)>,
+    /// Time at which anything was last received from it.
+    pub(super) last_response_at: Time,
     peers: HashMap<u64, PeerLoad>,
     failures: u32,
     suspect_until: Time,
-    /// Smoothed time by which first tokens came later than expected, and when that was noted.
+    /// Smoothed delay of first tokens beyond the expected time, and when it was recorded.
     delay_ms: f64,
     delay_at: Time,
 }
@@ -65,8 +64,8 @@
     pub(super) fn new(instance: Instance, slot: u32) -> Self {
         let name = instance.incarnation_name();
         Replica {
-            key: ReplicaId::from_name(&name),
-            place: ReplicaId::from_name(&instance.id),
+            incarnation_id: ReplicaId::from_name(&name),
+            stable_id: ReplicaId::from_name(&instance.id),
             name,
             instance,
             slot,
@@ -75,9 +74,9 @@
             availability: Availability::Open,
             models: Vec::new(),
             correction: (0, 0),
-            went_back_until: Time::ZERO,
-            earlier: None,
-            heard_at: Time::ZERO,
+            downgraded_until: Time::ZERO,
+            previous: None,
+            last_response_at: Time::ZERO,
             peers: HashMap::new(),
             failures: 0,
             suspect_until: Time::ZERO,
@@ -86,33 +85,39 @@
         }
     }
 
-    /// Prompt tokens that wait there, of all nodes that told of theirs.
+    /// Prompt tokens that wait there, over all nodes with recent updates.
     pub(super) fn waiting_tokens(&self, now: Time) -> u64 {
-        let others = self.peers.values().filter(|load| now < load.at + PEER_LOAD_AGE);
+        let others = self.peers.values().filter(|load| now < load.at + MAX_PEER_LOAD_AGE);
         self.pending_prefill + others.map(|load| load.pending_prefill).sum::<u64>()
     }
 
-    /// Requests there, of all nodes that told of theirs.
+    /// Requests in flight there, over all nodes with recent updates.
     pub(super) fn all_in_flight(&self, now: Time) -> u32 {
-        let others = self.peers.values().filter(|load| now < load.at + PEER_LOAD_AGE);
+        let others = self.peers.values().filter(|load| now < load.at + MAX_PEER_LOAD_AGE);
         self.in_flight + others.map(|load| load.in_flight).sum::<u32>()
     }
 
-    /// Part of its places that requests take, of all nodes that told of theirs; one that names no places counts as full.
-    pub(super) fn taken_share(&self, now: Time) -> f64 {
+    /// Share of its slots in use, over all nodes with recent updates; 1 if it has no slots.
+    pub(super) fn slot_utilization(&self, now: Time) -> f64 {
         match self.instance.slots {
             0 => 1.0,
             slots => f64::from(self.all_in_flight(now)) / f64::from(slots),
         }
     }
 
-    pub(super) fn note_peer(&mut self, peer: u64, pending_prefill: u64, in_flight: u32, at: Time) {
+    pub(super) fn record_peer_load(
+        &mut self,
+        peer: u64,
+        pending_prefill: u64,
+        in_flight: u32,
+        at: Time,
+    ) {
         if in_flight == 0 {
             self.peers.remove(&peer);
             return;
         }
         self.peers.insert(peer, PeerLoad { pending_prefill, in_flight, at });
-        self.peers.retain(|_, load| at < load.at + PEER_LOAD_AGE);
+        self.peers.retain(|_, load| at < load.at + MAX_PEER_LOAD_AGE);
     }
 
     pub(super) fn delay_ms(&self, now: Time) -> f64 {
@@ -120,20 +125,20 @@
         self.delay_ms * 0.5f64.powf(age)
     }
 
-    pub(super) fn note_delay(&mut self, delay_ms: f64, now: Time) {
-        let before = self.delay_ms(now);
-        self.delay_ms = before + DELAY_GAIN * (delay_ms - before);
+    pub(super) fn record_delay(&mut self, delay_ms: f64, now: Time) {
+        let smoothed_ms = self.delay_ms(now);
+        self.delay_ms = smoothed_ms + DELAY_GAIN * (delay_ms - smoothed_ms);
         self.delay_at = now;
     }
 
     pub(super) fn version(&self, model: Option<&str>) -> Option<u32> {
         let model = model?;
-        self.models.iter().find(|one| one.model == model).map(|one| one.version)
+        self.models.iter().find(|loaded| loaded.model == model).map(|loaded| loaded.version)
     }
 
-    /// Takes word that may be late: it says that the weights are as new as that at least.
-    pub(super) fn note_version(&mut self, model: &str, version: u32) {
-        match self.models.iter_mut().find(|one| one.model == model) {
+    /// Records a version that may be late information: the weights are at least as new.
+    pub(super) fn record_version(&mut self, model: &str, version: u32) {
+        match self.models.iter_mut().find(|loaded| loaded.model == model) {
             Some(known) => known.version = known.version.max(version),
             None => self.models.push(LoadedModel { model: model.to_owned(), version }),
         }
@@ -143,37 +148,41 @@
         self.models.retain(|loaded| loaded.model != model);
     }
 
-    /// What is told where it holds older weights than was believed.
-    pub(super) fn went_back_from(&self, before: &LoadedModel, said: Option<u32>) -> ReplicaChange {
+    /// The change to report when it has older weights than recorded.
+    pub(super) fn downgrade_from(
+        &self,
+        recorded: &LoadedModel,
+        reported: Option<u32>,
+    ) -> ReplicaChange {
         ReplicaChange::Downgraded {
             id: self.instance.id.clone(),
             start: self.instance.start,
-            model: before.model.clone(),
-            recorded: before.version,
-            reported: said,
+            model: recorded.model.clone(),
+            recorded: recorded.version,
+            reported,
         }
     }
 
-    /// Whether it may be sent a request, as far as anybody but the request's own failures says.
-    pub(super) fn may_take(&self, request: &ChoiceRequest<'_>) -> bool {
+    /// Whether it may be sent a request, apart from recent failures and pushback.
+    pub(super) fn accepts(&self, request: &ChoiceRequest<'_>) -> bool {
         !self.instance.is_draining
             && self.availability != Availability::Barred
             && !request.tried.contains(&self.name)
             && request.pinned_to.is_none_or(|name| *name == self.name)
     }
 
-    /// Whether it holds older weights than was believed, as a request found that names a model.
-    pub(super) fn went_back(&self, request: &ChoiceRequest<'_>, now: Time) -> bool {
-        request.model.is_some() && now < self.went_back_until
+    /// Whether it recently turned out to have older weights than recorded, for requests that name a
+    /// model.
+    pub(super) fn is_downgraded(&self, request: &ChoiceRequest<'_>, now: Time) -> bool {
+        request.model.is_some() && now < self.downgraded_until
     }
 
-    /// Whether others may take parts of prompts from it. One that is about to load still holds what
-    /// it read; once it loads, taking from it fails quickly.
-    pub(super) fn may_give(&self) -> bool {
+    /// Whether other replicas may fetch parts from it. A paused one still has its cache.
+    pub(super) fn can_transfer(&self) -> bool {
         self.availability != Availability::Barred
     }
 
-    /// What its cache belongs to: this incarnation, with these weights.
+    /// Incarnation with these weights, which its cache contents belong to.
     pub(super) fn incarnation(&self, version: u32) -> Incarnation {
         Incarnation((u64::from(self.slot) << 32) | u64::from(version))
     }
@@ -182,26 +191,26 @@
         now < self.suspect_until
     }
 
-    pub(super) fn note_success(&mut self, now: Time) {
-        self.heard_at = now;
+    pub(super) fn record_success(&mut self, now: Time) {
+        self.last_response_at = now;
         self.failures = 0;
         self.suspect_until = Time::ZERO;
     }
 
-    pub(super) fn note_failure(&mut self, now: Time) {
-        let wait = FIRST_SUSPICION.saturating_mul(1 << self.failures.min(8));
+    pub(super) fn record_failure(&mut self, now: Time) {
+        let wait = MIN_SUSPICION.saturating_mul(1 << self.failures.min(8));
         self.failures += 1;
-        self.suspect_until = now + wait.min(LONGEST_SUSPICION);
+        self.suspect_until = now + wait.min(MAX_SUSPICION);
     }
 
-    /// Takes another node's word that it failed there: that node may be the one that is cut off, so
-    /// that only the shortest suspicion follows.
-    pub(super) fn note_failure_elsewhere(&mut self, now: Time) {
-        self.suspect_until = self.suspect_until.max(now + FIRST_SUSPICION);
+    /// Records a failure that another node reported. Only the shortest suspicion follows, as that
+    /// node's network may be at fault.
+    pub(super) fn record_remote_failure(&mut self, now: Time) {
+        self.suspect_until = self.suspect_until.max(now + MIN_SUSPICION);
     }
 
-    pub(super) fn note_replaced(&mut self, now: Time) {
+    pub(super) fn record_address_reused(&mut self, now: Time) {
         self.failures += 1;
-        self.suspect_until = now + LONGEST_SUSPICION;
+        self.suspect_until = now + MAX_SUSPICION;
     }
 }
--- a/crates/gateway/src/balancer/sharded.rs
+++ b/crates/gateway/src/balancer/sharded.rs
@@ -1,27 +1,27 @@
-//! Choices in a fleet of many gateways: which shards a prompt may go to, and what is made of the
-//! offer of a shard's coordinator.
+//! Placement in a fleet with coordinators: the shards that a prompt may go to, and the handling of
+//! a coordinator's offer.
 
-use super::choice::shared_of;
+use super::choice::shared_prefix;
 use super::{Balancer, Choice, ChoiceRequest};
-use crate::question::PlacementOffer;
+use crate::placement_request::PlacementOffer;
 use crate::shards::Shard;
 use rand::Rng;
 use topazmount_routing::rendezvous_weight;
 use topazmount_types::Time;
 
-/// Shards that are asked for one prompt at most.
-const MOST_SHARDS: usize = 3;
-/// What a prompt may wait beyond the time in which an idle replica would read it whole, in
-/// milliseconds, before another shard is asked.
-const SPILL_MS: f64 = 50.0;
+/// Maximum number of shards whose coordinators are asked about one prompt.
+const MAX_SHARDS: usize = 3;
+/// Wait, in milliseconds beyond the prefill time at an idle replica, above which another shard is
+/// tried.
+const MAX_EXTRA_WAIT_MS: f64 = 50.0;
 
 impl Balancer {
-    /// Sets whether gateways are so many that coordinators place prompts.
+    /// Sets whether coordinators place prompts.
     pub(crate) fn set_coordinated(&mut self, has_coordinators: bool) {
         self.has_coordinators = has_coordinators;
     }
 
-    /// Shards of a service; none where gateways are few.
+    /// Shards of a service; empty without coordinators.
     pub(crate) fn shards_of(&self, service: &str) -> Vec<Shard> {
         let count = self.shard_count(service);
         (0..count).map(|index| Shard { index, count }).collect()
@@ -34,57 +34,59 @@
         }
     }
 
-    /// The shard that a replica belongs to, if its service has shards.
+    /// The shard of the chosen replica, if its service has shards.
     pub(crate) fn shard_of(&self, choice: &Choice) -> Option<Shard> {
         let replica = self.replicas.get(&choice.instance.id)?;
         let count = self.shard_count(&choice.instance.service);
-        (count > 0).then(|| Shard::of(replica.place, count))
+        (count > 0).then(|| Shard::of(replica.stable_id, count))
     }
 
-    /// Shards that a prompt may go to, its own first: those of the first homes of its shared parts. A
-    /// prompt that shares nothing belongs nowhere.
+    /// Shards that a prompt may go to, in order of the first homes of its shared parts. A prompt
+    /// without shared parts gets a random order.
     pub(crate) fn shards_for(&mut self, request: &ChoiceRequest<'_>) -> Vec<Shard> {
         let count = self.shard_count(request.service);
         if count == 0 || request.prompt.is_none() || request.pinned_to.is_some() {
             return Vec::new();
         }
-        let chain = request.chain();
-        let key = shared_of(&chain).last().copied().unwrap_or_else(|| self.rng.random());
+        let prefix_hashes = request.prefix_hashes();
+        let key =
+            shared_prefix(&prefix_hashes).last().copied().unwrap_or_else(|| self.rng.random());
         let serving = self.serving(request.service);
-        let mut homes: Vec<_> =
-            serving.map(|one| (rendezvous_weight(key, one.place), one.place)).collect();
-        homes.sort_unstable_by(|left, right| right.cmp(left));
-        let mut shards: Vec<Shard> = Vec::with_capacity(MOST_SHARDS);
-        for (_, home) in homes {
-            let shard = Shard::of(home, count);
+        let mut ranked: Vec<_> = serving
+            .map(|replica| (rendezvous_weight(key, replica.stable_id), replica.stable_id))
+            .collect();
+        ranked.sort_unstable_by(|left, right| right.cmp(left));
+        let mut shards: Vec<Shard> = Vec::with_capacity(MAX_SHARDS);
+        for (_, stable_id) in ranked {
+            let shard = Shard::of(stable_id, count);
             if !shards.contains(&shard) {
                 shards.push(shard);
             }
-            if shards.len() == MOST_SHARDS {
+            if shards.len() == MAX_SHARDS {
                 break;
             }
         }
         shards
     }
 
-    /// Whether a prompt is better asked for at a further shard: an idle replica elsewhere would have
-    /// read it whole before this choice begins.
+    /// Whether the prompt should be tried at a further shard, as it would wait too long at this
+    /// choice.
     pub(crate) fn is_overloaded(&self, choice: &Choice, request: &ChoiceRequest<'_>) -> bool {
         let tokens = request.prompt.map_or(0, |prompt| prompt.prompt_tokens);
-        let alone_ms = f64::from(tokens) / self.prefill_rate(request.service);
-        choice.estimate_ms > alone_ms + SPILL_MS
+        let idle_prefill_ms = f64::from(tokens) / self.prefill_rate(request.service);
+        choice.estimate_ms > idle_prefill_ms + MAX_EXTRA_WAIT_MS
     }
 
-    /// Names of the incarnations that a question names by their hashes; unknown ones are passed over.
+    /// Names of the incarnations with these hashes; unknown ones are skipped.
     pub(crate) fn names_of(&self, keys: &[u64]) -> Vec<String> {
-        let known = keys.iter().filter_map(|key| self.replicas.get(self.by_key.get(key)?));
+        let known = keys.iter().filter_map(|key| self.replicas.get(self.by_incarnation.get(key)?));
         known.map(|replica| replica.name.clone()).collect()
     }
 
-    /// What a coordinator says of its choice.
+    /// The offer that a coordinator sends for its choice.
     pub(crate) fn offer(&self, choice: &Choice) -> Option<PlacementOffer> {
         Some(PlacementOffer {
-            replica: self.chosen(choice)?.key.0,
+            replica: self.chosen(choice)?.incarnation_id.0,
             expected_prefill: choice.expected_prefill,
             known_tokens: choice.known_tokens,
             estimate_ms: choice.estimate_ms,
@@ -98,24 +100,25 @@
         })
     }
 
-    /// The choice that a coordinator's offer makes; none where this node knows that the replica must
-    /// not be asked.
+    /// Turns a coordinator's offer into a choice; `None` if this node knows that the replica must
+    /// not be used.
     pub(crate) fn accept_offer(
         &self,
         offer: &PlacementOffer,
         request: &ChoiceRequest<'_>,
         now: Time,
     ) -> Option<Choice> {
-        let replica = self.replicas.get(self.by_key.get(&offer.replica)?)?;
+        let replica = self.replicas.get(self.by_incarnation.get(&offer.replica)?)?;
         if replica.instance.service != request.service
-            || !self.could_serve(replica, request, now)
-            || self.wants_none(replica, now)
+            || !self.is_eligible(replica, request, now)
+            || self.is_unavailable(replica, now)
         {
             return None;
         }
         let known = replica.version(request.model);
-        // What the coordinator says of caches belongs to the version that it believes in.
-        let is_same_version = known <= offer.version;
+        // The offer's cache sources are only valid for the version that the coordinator has
+        // recorded.
+        let is_offered_version = known <= offer.version;
         let prompt_tokens = request.prompt.map_or(0, |prompt| prompt.prompt_tokens);
         Some(Choice {
             instance: replica.instance.clone(),
@@ -126,11 +129,11 @@
             home_rank: offer.home_rank,
             has_empty_queue: offer.has_empty_queue,
             slot_utilization: offer.slot_utilization,
-            version: self.version_to_name(known.max(offer.version), request, now),
-            required_version: self.expected(known.max(offer.version), request, now),
-            source: offer.source.clone().filter(|_| is_same_version),
-            save_to: offer.save_to.clone().filter(|_| is_same_version),
-            limit: self.limits.limit(replica.key.0),
+            version: self.version_to_request(known.max(offer.version), request, now),
+            required_version: self.required_version(known.max(offer.version), request, now),
+            source: offer.source.clone().filter(|_| is_offered_version),
+            save_to: offer.save_to.clone().filter(|_| is_offered_version),
+            limit: self.limits.limit(replica.incarnation_id.0),
             has_prompt: request.prompt.is_some(),
             slot: replica.slot,
         })
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The service catalog: routes, services, tenants and limits, checked as a whole.
+//! The service catalog: routes, services, tenants and limits, validated together.
 
 use crate::quota::TenantLimit;
 use std::collections::{BTreeMap, HashMap};
@@ -6,55 +6,55 @@
 use thiserror::Error;
 use topazmount_types::TenantId;
 
-/// What may be done again with a route's requests.
+/// Whether requests of a route may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// May run more than once.
     Idempotent,
     /// Runs at most once.
     NonIdempotent,
-    /// Answers with a stream of events; runs at most once unless the route is resumable.
+    /// Responds with an event stream; runs at most once unless the route is resumable.
     Streaming,
 }
 
-/// One part of a route's traffic.
+/// A service's part of a route's traffic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SplitPart {
-    /// Service.
+    /// Name of the service.
     pub service: String,
     /// Share of the traffic, relative to the other parts.
     pub weight: u32,
 }
 
-/// A route.
+/// A route from a host and path prefix to services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Name.
+    /// Name of the route.
     pub name: String,
-    /// Host that requests name.
+    /// Host of the requests.
     pub host: String,
     /// Path prefix; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may run more than once.
     pub kind: RouteKind,
-    /// Longest time that a request is held.
+    /// Maximum time for a request.
     pub timeout: Duration,
-    /// Time within which an answer is in time.
+    /// Target time to the response, or to its first event.
     pub target_latency: Duration,
-    /// Rank, 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Where its requests go.
+    /// Services that its requests are divided among.
     pub split: Vec<SplitPart>,
-    /// Most replicas that one request is sent to.
+    /// Maximum number of replicas that one request is sent to.
     pub attempts: u32,
     /// Whether requests need no key.
     pub is_public: bool,
-    /// Whether a stream may go on at another replica.
+    /// Whether a stream may be resumed at another replica.
     pub is_resumable: bool,
 }
 
 impl Route {
-    /// Whether a request that may have run may be sent again.
+    /// Whether a request that may have run may be retried.
     pub fn is_retryable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -67,40 +67,40 @@
 /// Parameters of a service of language-model replicas.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineParameters {
-    /// Requests in one batch.
+    /// Maximum number of requests in a batch.
     pub slots: u32,
-    /// Tokens that a replica's memory holds.
+    /// Capacity of a replica's cache, in tokens.
     pub kv_capacity_tokens: u64,
-    /// Bytes of memory that one token takes.
+    /// Bytes of cache per token.
     pub token_bytes: f64,
-    /// Bandwidth for moves of memory, in megabits a second.
+    /// Bandwidth for transfers of cached parts, in megabits per second.
     pub link_mbps: f64,
-    /// Models that it serves.
+    /// Names of the models that it serves.
     pub models: Vec<String>,
 }
 
-/// Bytes that a link of one megabit a second carries in a millisecond.
+/// Bytes per millisecond on a link of one megabit per second.
 const BYTES_PER_MBPS_MS: f64 = 125.0;
 
 impl EngineParameters {
-    /// Duration of a move of so many tokens within a zone, in milliseconds.
+    /// Duration of a transfer of cached tokens within a zone, in milliseconds.
     pub fn transfer_ms(&self, tokens: u32) -> f64 {
         self.transfer_ms_over(tokens, self.link_mbps)
     }
 
-    /// The same over another link, in megabits a second.
+    /// Duration of a transfer over a link of the given bandwidth, in milliseconds.
     pub fn transfer_ms_over(&self, tokens: u32, link_mbps: f64) -> f64 {
         let bytes_per_ms = link_mbps * BYTES_PER_MBPS_MS;
         if bytes_per_ms > 0.0 { f64::from(tokens) * self.token_bytes / bytes_per_ms } else { 0.0 }
     }
 }
 
-/// A service.
+/// A service that requests are routed to, or a store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Name.
+    /// Name of the service.
     pub name: String,
-    /// Connections that one replica takes from all callers.
+    /// Maximum number of connections that one replica accepts from all clients.
     pub max_connections: u32,
     /// Set for language-model replicas.
     pub engine: Option<EngineParameters>,
@@ -111,22 +111,22 @@
 /// A shared store of prompt parts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreParameters {
-    /// Address, as replicas are told of it.
+    /// Address that replicas use.
     pub address: String,
-    /// Its link, in megabits a second.
+    /// Bandwidth of its link, in megabits per second.
     pub link_mbps: f64,
 }
 
-/// Bounds on what a client may send.
+/// Limits on what a client may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpLimits {
-    /// Largest head in bytes.
+    /// Maximum size of a request head.
     pub max_header_bytes: usize,
-    /// Largest body in bytes.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Longest time for a head or body to arrive.
+    /// Maximum time to receive a request head.
     pub header_timeout: Duration,
-    /// Longest rest of a kept connection.
+    /// Maximum idle time of a kept-alive connection, and of receiving a body.
     pub idle_timeout: Duration,
 }
 
@@ -141,86 +141,86 @@
     }
 }
 
-/// A tenant.
+/// A tenant, which owns API keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Name.
+    /// Name of the tenant.
     pub name: String,
-    /// Keys.
+    /// API keys.
     pub api_keys: Vec<String>,
-    /// Rank, 0 is the most urgent; goes before the route's.
+    /// Priority; 0 is the most urgent. Takes precedence over the route's.
     pub priority: u32,
-    /// Whether its cached prompt parts are kept from all other tenants.
+    /// Whether its cached prompt parts must not be shared with other tenants.
     pub is_isolated: bool,
-    /// How much it may use over all gateways together; `None` where that is not limited.
+    /// Limit over all gateways together; `None` if unlimited.
     pub limit: Option<TenantLimit>,
 }
 
-/// What a catalog is made of, as read from a document.
+/// The parts of a catalog, as decoded from a document.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogParts {
-    /// Version.
+    /// Version of the catalog.
     pub version: u64,
     /// Routes.
     pub routes: Vec<Route>,
     /// Services.
     pub services: Vec<Service>,
-    /// Limits.
+    /// Limits on clients.
     pub limits: HttpLimits,
-    /// Tenants; `None` when requests need no key at all.
+    /// Tenants; `None` if no request needs a key.
     pub tenants: Option<Vec<Tenant>>,
 }
 
 /// Why a catalog is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CatalogError {
-    /// The document can't be read.
+    /// The document can't be decoded.
     #[error("the document can't be read: {0}")]
     Unreadable(String),
-    /// A route names a service that is not there.
+    /// A route refers to a service that does not exist.
     #[error("route {route} names the unknown service {service}")]
     UnknownService {
-        /// Route.
+        /// Name of the route.
         route: String,
-        /// Service.
+        /// Name of the service.
         service: String,
     },
-    /// Two routes share host and prefix.
+    /// Two routes have the same host and path prefix.
     #[error("two routes share host {host} and prefix {path_prefix}")]
     DuplicateRoute {
-        /// Host.
+        /// Host of both routes.
         host: String,
-        /// Prefix.
+        /// Path prefix of both routes.
         path_prefix: String,
     },
-    /// A route's weights add up to nothing.
+    /// The weights of a route add up to 0.
     #[error("the weights of route {0} add up to 0")]
     ZeroWeight(String),
-    /// A route has no time.
+    /// A route has a timeout of 0.
     #[error("route {0} has a timeout of 0")]
     ZeroTimeout(String),
-    /// Two services share a name.
+    /// Two services have the same name.
     #[error("two services are named {0}")]
     DuplicateService(String),
-    /// Two tenants share a key.
+    /// Two tenants have the same key.
     #[error("tenants {0} and {1} share a key")]
     DuplicateKey(String, String),
 }
 
-/// A checked catalog.
+/// A validated catalog.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     parts: CatalogParts,
     services: BTreeMap<String, usize>,
-    /// For each host its routes, the longest prefix first.
+    /// Indexes of the routes of each host, longest prefix first.
     hosts: HashMap<String, Vec<usize>>,
     keys: HashMap<String, usize>,
-    /// Tenants that have limits, by the hash of their names.
+    /// Limits of tenants, by the hash of their names.
     limits: HashMap<u64, TenantLimit>,
 }
 
 impl Catalog {
-    /// Checks the parts as a whole.
+    /// Validates the parts.
     ///
     /// # Errors
     /// The first [`CatalogError`] found.
@@ -232,12 +232,13 @@
         let hosts = index_hosts(&parts.routes)?;
         let keys = index_keys(parts.tenants.as_deref().unwrap_or_default())?;
         let tenants = parts.tenants.iter().flatten();
-        let limits = tenants.filter_map(|one| Some((TenantId::from_name(&one.name).0, one.limit?)));
+        let limits =
+            tenants.filter_map(|tenant| Some((TenantId::from_name(&tenant.name).0, tenant.limit?)));
         let limits = limits.collect();
         Ok(Catalog { parts, services, hosts, keys, limits })
     }
 
-    /// Version.
+    /// Version of the catalog.
     pub fn version(&self) -> u64 {
         self.parts.version
     }
@@ -262,7 +263,7 @@
         self.services.get(name).map(|position| &self.parts.services[*position])
     }
 
-    /// The route with the longest prefix of the path, and its place in the list.
+    /// The route with the longest matching path prefix, and its index.
     pub fn route(&self, host: &str, path: &str) -> Option<(usize, &Route)> {
         let positions = self.hosts.get(&host.to_ascii_lowercase())?;
         let routes = &self.parts.routes;
@@ -270,7 +271,7 @@
         Some((*found, &routes[*found]))
     }
 
-    /// Whether requests need keys at all.
+    /// Whether any request needs a key.
     pub fn has_tenants(&self) -> bool {
         self.parts.tenants.is_some()
     }
@@ -280,7 +281,7 @@
         self.limits.get(&tenant)
     }
 
-    /// The tenant that holds a key.
+    /// The tenant that owns a key.
     pub fn tenant(&self, key: &str) -> Option<&Tenant> {
         let tenants = self.parts.tenants.as_deref().unwrap_or_default();
         self.keys.get(key).map(|position| &tenants[*position])
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -1,28 +1,28 @@
-//! Which connections to replicas are kept, and which requests may be sent on a kept one.
+//! Decides which connections to replicas are pooled, and which requests may reuse one.
 //!
-//! A kept connection saves a handshake, and costs certainty: a replica may have forgotten it or may
-//! be gone, and then nothing tells whether a request that was sent on it has run. So a request that
-//! must run at most once is sent only on a connection that was in use a moment ago; one that may be
-//! repeated is sent again on a new connection when a kept one breaks.
+//! A pooled connection saves a handshake, but the replica may have closed it, and then it is
+//! unknown whether a request that was sent on it has run. A request that must run at most once is
+//! therefore only sent on a recently used connection; a retryable one is sent again on a new
+//! connection if a pooled one breaks.
 
 use std::collections::HashMap;
 use std::time::Duration;
 use topazmount_types::Time;
 
-/// Part of the idle time that a replica announces for which its connection is used: what is sent
-/// must arrive before the replica closes.
-const ANNOUNCED_SHARE: f64 = 0.6;
-/// Time after which a replica's early forgetting is believed half as strictly.
-const FORGIVENESS: Duration = Duration::from_secs(10);
+/// Share of a replica's announced idle timeout for which its connection is used, so that a request
+/// arrives before the replica closes.
+const ANNOUNCED_TIMEOUT_SHARE: f64 = 0.6;
+/// Time after which the idle time learned from a stale connection doubles.
+const STALE_DOUBLING_TIME: Duration = Duration::from_secs(10);
 
-/// Settings of kept connections.
+/// Settings of connection reuse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionSettings {
-    /// Whether any are kept.
+    /// Whether connections are pooled.
     pub is_enabled: bool,
-    /// Longest idle time before a request that must run at most once.
+    /// Maximum idle time of a connection for a request that must run at most once.
     pub max_idle_non_retryable: Duration,
-    /// Longest idle time before a request that may be repeated.
+    /// Maximum idle time of a connection for a retryable request.
     pub max_idle: Duration,
 }
 
@@ -36,48 +36,48 @@
     }
 }
 
-/// How an answer left its connection.
+/// State of a connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseEnd {
-    /// Whether the replica was sent the whole request.
+    /// Whether the whole request was sent.
     pub is_request_sent: bool,
-    /// Whether the answer ended before the connection did, as its own framing says.
+    /// Whether the response ended by its own framing rather than by the end of the connection.
     pub is_framed: bool,
-    /// Whether either side said that it closes, or speaks a version that does.
+    /// Whether either side closes the connection, explicitly or by its protocol version.
     pub closes: bool,
-    /// Whether bytes came after the answer.
+    /// Whether bytes followed the response.
     pub has_extra_bytes: bool,
 }
 
 impl ResponseEnd {
-    /// Whether the connection is as good as new: nothing is due on it, in either direction.
+    /// Whether the connection can be reused: nothing is outstanding in either direction.
     pub fn is_clean(&self) -> bool {
         self.is_request_sent && self.is_framed && !self.closes && !self.has_extra_bytes
     }
 }
 
-/// A connection at rest.
+/// An idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdleConnection {
-    /// Time since its last answer.
+    /// Time since its last response.
     pub idle: Duration,
-    /// Idle time after which the replica says that it closes, if it says so.
+    /// Idle timeout that the replica announced, if any.
     pub announced_timeout: Option<Duration>,
 }
 
-/// Shortest idle time at which replicas of a service had forgotten a connection.
+/// Idle time at which a connection to a service was found stale.
 #[derive(Clone, Copy, Debug)]
-struct Forgotten {
+struct StaleConnection {
     idle: Duration,
     at: Time,
 }
 
-/// Decides on kept connections. Invariant: a connection is used again only after a whole answer
-/// whose end is beyond doubt.
+/// Decides on the reuse of connections. Invariant: a connection is reused only after a complete
+/// response.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionReuse {
     cfg: ConnectionSettings,
-    forgotten: HashMap<String, Forgotten>,
+    stale: HashMap<String, StaleConnection>,
 }
 
 impl ConnectionReuse {
@@ -86,38 +86,39 @@
         self.cfg = cfg;
     }
 
-    /// Whether a connection may be kept after an answer.
+    /// Whether a connection may be pooled after a response.
     pub fn may_pool(&self, end: ResponseEnd) -> bool {
         self.cfg.is_enabled && end.is_clean()
     }
 
-    /// Longest idle time of a connection to a service that a request may be sent on.
-    pub fn max_idle(&self, service: &str, is_repeatable: bool, now: Time) -> Duration {
-        let most = if is_repeatable { self.cfg.max_idle } else { self.cfg.max_idle_non_retryable };
-        let Some(forgotten) = self.forgotten.get(service) else { return most };
-        let halves = now.since(forgotten.at).as_secs_f64() / FORGIVENESS.as_secs_f64();
-        most.min(forgotten.idle.mul_f64(0.5 * 2f64.powf(halves.min(16.0))))
+    /// Maximum idle time of a connection to a service for a request.
+    pub fn max_idle(&self, service: &str, is_retryable: bool, now: Time) -> Duration {
+        let max_idle =
+            if is_retryable { self.cfg.max_idle } else { self.cfg.max_idle_non_retryable };
+        let Some(stale) = self.stale.get(service) else { return max_idle };
+        let doublings = now.since(stale.at).as_secs_f64() / STALE_DOUBLING_TIME.as_secs_f64();
+        max_idle.min(stale.idle.mul_f64(0.5 * 2f64.powf(doublings.min(16.0))))
     }
 
-    /// Whether a request may be sent on a kept connection to a service.
+    /// Whether a request may be sent on an idle connection to a service.
     pub fn may_reuse(
         &self,
         service: &str,
         connection: IdleConnection,
-        is_repeatable: bool,
+        is_retryable: bool,
         now: Time,
     ) -> bool {
         let announced = connection
             .announced_timeout
-            .map_or(Duration::MAX, |time| time.mul_f64(ANNOUNCED_SHARE));
-        let most = self.max_idle(service, is_repeatable, now).min(announced);
-        self.cfg.is_enabled && connection.idle < most
+            .map_or(Duration::MAX, |time| time.mul_f64(ANNOUNCED_TIMEOUT_SHARE));
+        let max_idle = self.max_idle(service, is_retryable, now).min(announced);
+        self.cfg.is_enabled && connection.idle < max_idle
     }
 
-    /// Notes that a replica had forgotten a connection after an idle time.
+    /// Records that a connection was stale after an idle time.
     pub fn on_stale_connection(&mut self, service: &str, idle: Duration, now: Time) {
-        let before = self.max_idle(service, true, now);
-        let idle = idle.min(before);
-        self.forgotten.insert(service.to_owned(), Forgotten { idle, at: now });
+        let max_idle = self.max_idle(service, true, now);
+        let idle = idle.min(max_idle);
+        self.stale.insert(service.to_owned(), StaleConnection { idle, at: now });
     }
 }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -1,95 +1,98 @@
-//! What a gateway knows of requests under which replicas crash.
+//! Tracks requests that crash replicas.
 //!
-//! The control group counts what all gateways saw and says what is blocked. What this gateway saw counts here too, so
-//! that a request that comes to it again and again is blocked while control can't be reached. Replicas are named by their
-//! incarnations, so that the end of one says nothing of what broke off at the next.
+//! The control group collects the crashes seen by all gateways and decides which requests are
+//! blocked. A gateway also counts the crashes that it sees itself, so that it can block a request
+//! while the control group is unreachable. Replicas are named by their incarnations, so that the
+//! end of one does not affect the next.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
 use topazmount_control::{BlockedRequest, CrashLedger, CrashNote, CrashNotes};
 use topazmount_types::{ReplicaId, RequestDigest, Time};
 
-/// How long what was seen is told again. Control may have no leader for an election, and a gateway may be cut off
-/// for longer.
-const TOLD_FOR: Duration = Duration::from_secs(30);
-/// Time without news from control after which a gateway goes by what it saw itself: several of the 400 ms for which a
-/// request for news is held. Until then control knows better, since it knows who else ran at a replica.
-const ALONE_AFTER: Duration = Duration::from_secs(2);
-/// Crashes and completions that are told at a time, 2.2 KB at most; the oldest are left out.
-const MAX_NOTES: usize = 64;
-/// How long a request is suspected after it broke off, unless it is known that its replica lives or has ended: the
-/// silence after which control gives a replica up, 5 s, and time for the word of it.
-const SUSPECTED_FOR: Duration = Duration::from_secs(8);
-/// Requests suspected at a time, 30 KB at most; the oldest are forgotten. A crash takes some ten requests of one gateway.
-const MOST_SUSPECTED: usize = 256;
-/// Requests of which it is remembered that they ran well, 48 KB at most. They speak for a request that is
-/// blocked although it runs well, such as one that many clients send alike.
-const MOST_COMPLETED: usize = 1_024;
-
-/// Requests that ran well lately.
+/// Time for which a crash or completion is reported again, long enough for an election or a
+/// partition.
+const REPORT_TIME: Duration = Duration::from_secs(30);
+/// Time without contact to the control group after which the gateway blocks by its own records.
+/// Until then the control group decides, as it also knows which other requests ran at a replica.
+const OFFLINE_AFTER: Duration = Duration::from_secs(2);
+/// Maximum number of crashes, and of completions, in a report; the oldest ones are dropped.
+const MAX_REPORTED: usize = 64;
+/// Time for which a request is suspected after its connection broke, unless its replica turns out
+/// to be alive or to have ended. Covers the time until the control group removes a silent replica
+/// and reports that.
+const SUSPICION_TIME: Duration = Duration::from_secs(8);
+/// Maximum number of suspected requests; the oldest ones are dropped.
+const MAX_SUSPICIONS: usize = 256;
+/// Maximum number of remembered completions. They are evidence for a request that is blocked by
+/// mistake.
+const MAX_COMPLETIONS: usize = 1_024;
+
+/// Requests that completed lately.
 #[derive(Default)]
-struct Completed {
-    at: HashMap<RequestDigest, Time>,
-    order: VecDeque<(RequestDigest, Time)>,
+struct Completions {
+    completed_at: HashMap<RequestDigest, Time>,
+    insertion_order: VecDeque<(RequestDigest, Time)>,
 }
 
-impl Completed {
+impl Completions {
     fn add(&mut self, request: RequestDigest, now: Time) {
-        self.at.insert(request, now);
-        self.order.push_back((request, now));
-        if self.order.len() > MOST_COMPLETED
-            && let Some((oldest, at)) = self.order.pop_front()
-            && self.at.get(&oldest) == Some(&at)
+        self.completed_at.insert(request, now);
+        self.insertion_order.push_back((request, now));
+        if self.insertion_order.len() > MAX_COMPLETIONS
+            && let Some((oldest, at)) = self.insertion_order.pop_front()
+            && self.completed_at.get(&oldest) == Some(&at)
         {
-            self.at.remove(&oldest);
+            self.completed_at.remove(&oldest);
         }
     }
 }
 
-/// A request whose connection broke: its replica may have ended, or only the connection.
+/// A request whose connection broke; the replica may have crashed, or only the connection failed.
 struct Suspicion {
     request: RequestDigest,
-    /// Name of its replica's incarnation.
+    /// Name of the replica's incarnation.
     incarnation: String,
     ran_for: Duration,
     broke_at: Time,
 }
 
-/// What one gateway knows of crashes. Invariant: a request that it saw run well is told to control as such for as long
-/// as its crashes would be.
+/// One gateway's records of crashes. Invariant: the completion of a request that it saw crash is
+/// reported for as long as the crashes would be.
 #[derive(Default)]
 pub struct CrashTracker {
-    /// What control says.
+    /// Requests that the control group has blocked.
     blocked: HashSet<RequestDigest>,
-    /// When control was heard last.
-    heard_at: Time,
-    /// What this gateway saw itself.
-    own: CrashLedger,
-    suspected: VecDeque<Suspicion>,
-    seen: VecDeque<(Time, CrashNote)>,
-    cleared: VecDeque<(Time, RequestDigest)>,
-    completed: Completed,
+    /// Last contact with the control group.
+    last_contact: Time,
+    /// Crashes seen by this gateway.
+    local_ledger: CrashLedger,
+    suspicions: VecDeque<Suspicion>,
+    crash_notes: VecDeque<(Time, CrashNote)>,
+    completion_notes: VecDeque<(Time, RequestDigest)>,
+    completions: Completions,
 }
 
 impl CrashTracker {
     /// Whether a request must not be sent to any replica.
     pub fn is_blocked(&self, request: RequestDigest, now: Time) -> bool {
-        let is_alone = now >= self.heard_at + ALONE_AFTER;
-        self.blocked.contains(&request) || is_alone && self.own.is_blocked(request)
+        let is_offline = now >= self.last_contact + OFFLINE_AFTER;
+        self.blocked.contains(&request) || is_offline && self.local_ledger.is_blocked(request)
     }
 
-    /// Notes that a member of control vouched for what it tells.
+    /// Records a response of a member that confirmed its data.
     pub fn record_control_contact(&mut self, now: Time) {
-        self.heard_at = self.heard_at.max(now);
+        self.last_contact = self.last_contact.max(now);
     }
 
-    /// Number of requests that control has blocked.
+    /// Number of requests that the control group has blocked.
     pub fn blocked_count(&self) -> usize {
         self.blocked.len()
     }
 
-    /// Notes that the connection broke on which a replica had had a request for so long. Whether the replica has ended is
-    /// often known later: its listener may outlive its worker, and its next life may listen at once.
+    /// Records that a connection broke after the replica had the request for `ran_for`. Often it is
+    /// only known later whether the replica has ended: its listener may outlive the worker, and a
+    /// new incarnation may listen at once.
     pub fn on_connection_broken(
         &mut self,
         request: RequestDigest,
@@ -97,40 +100,42 @@
         ran_for: Duration,
         now: Time,
     ) {
-        self.suspected.retain(|one| now < one.broke_at + SUSPECTED_FOR);
-        if self.suspected.len() >= MOST_SUSPECTED {
-            self.suspected.pop_front();
+        self.suspicions.retain(|entry| now < entry.broke_at + SUSPICION_TIME);
+        if self.suspicions.len() >= MAX_SUSPICIONS {
+            self.suspicions.pop_front();
         }
         let incarnation = incarnation.to_owned();
-        self.suspected.push_back(Suspicion { request, incarnation, ran_for, broke_at: now });
+        self.suspicions.push_back(Suspicion { request, incarnation, ran_for, broke_at: now });
     }
 
-    /// Whether it would tell something if a replica had ended.
+    /// Whether requests are suspected to have crashed this incarnation.
     pub fn is_suspected(&self, incarnation: &str) -> bool {
-        self.suspected.iter().any(|one| one.incarnation == incarnation)
+        self.suspicions.iter().any(|entry| entry.incarnation == incarnation)
     }
 
-    /// Notes that a replica has ended without a word: what broke off at it counts as crashes. Returns for how many
-    /// requests.
+    /// Records that a replica ended unannounced: the suspected requests there count as crashes.
+    /// Returns their number.
     pub fn on_replica_ended(&mut self, incarnation: &str, now: Time) -> usize {
-        let suspected = std::mem::take(&mut self.suspected);
+        let suspicions = std::mem::take(&mut self.suspicions);
         let (ended, others): (VecDeque<Suspicion>, VecDeque<Suspicion>) =
-            suspected.into_iter().partition(|one| one.incarnation == incarnation);
-        self.suspected = others;
-        let fresh = ended.iter().filter(|one| now < one.broke_at + SUSPECTED_FOR);
-        let count = fresh.clone().count();
-        for one in fresh {
-            self.record_crash(one.request, incarnation, one.ran_for, one.broke_at);
+            suspicions.into_iter().partition(|entry| entry.incarnation == incarnation);
+        self.suspicions = others;
+        let recent = ended.iter().filter(|entry| now < entry.broke_at + SUSPICION_TIME);
+        let count = recent.clone().count();
+        for entry in recent {
+            self.record_crash(entry.request, incarnation, entry.ran_for, entry.broke_at);
         }
         count
     }
 
-    /// Notes that a replica answered what was sent to it at a moment: it outlived what broke off before.
+    /// Records that a replica responded to a request sent at `sent_at`, so it survived the
+    /// connections that broke before.
     pub fn clear_suspicion(&mut self, incarnation: &str, sent_at: Time) {
-        self.suspected.retain(|one| one.incarnation != incarnation || one.broke_at >= sent_at);
+        self.suspicions
+            .retain(|entry| entry.incarnation != incarnation || entry.broke_at >= sent_at);
     }
 
-    /// Notes that a replica crashed, at a moment, that had had a request for so long.
+    /// Records that a replica crashed at a moment, after it had the request for `ran_for`.
     pub fn record_crash(
         &mut self,
         request: RequestDigest,
@@ -140,63 +145,68 @@
     ) {
         let replica = ReplicaId::from_name(incarnation);
         let note = CrashNote { request, replica, ran_for, age: Duration::ZERO };
-        self.cleared.retain(|(_, cleared)| *cleared != request);
-        self.seen.push_back((at, note));
-        self.own.note(at, &CrashNotes { crashes: vec![note], completed: Vec::new() });
+        self.completion_notes.retain(|(_, completed)| *completed != request);
+        self.crash_notes.push_back((at, note));
+        self.local_ledger.note(at, &CrashNotes { crashes: vec![note], completed: Vec::new() });
     }
 
-    /// Notes that a request ran to its end. Returns whether control should hear of it at once.
+    /// Records that a request completed. Returns whether the control group should be informed at
+    /// once.
     pub fn record_completion(&mut self, request: RequestDigest, now: Time) -> bool {
-        self.completed.add(request, now);
-        if !self.seen.iter().any(|(_, note)| note.request == request) {
+        self.completions.add(request, now);
+        if !self.crash_notes.iter().any(|(_, note)| note.request == request) {
             return false;
         }
-        self.clear(request, now);
+        self.report_completion(request, now);
         true
     }
 
-    fn clear(&mut self, request: RequestDigest, now: Time) {
-        self.seen.retain(|(_, note)| note.request != request);
-        self.cleared.push_back((now, request));
-        self.own.note(now, &CrashNotes { crashes: Vec::new(), completed: vec![request] });
+    fn report_completion(&mut self, request: RequestDigest, now: Time) {
+        self.crash_notes.retain(|(_, note)| note.request != request);
+        self.completion_notes.push_back((now, request));
+        self.local_ledger.note(now, &CrashNotes { crashes: Vec::new(), completed: vec![request] });
     }
 
-    /// What control should hear.
+    /// The report for the control group.
     pub fn notes(&mut self, now: Time) -> CrashNotes {
-        self.own.forget(now);
-        trim(&mut self.seen, now);
-        trim(&mut self.cleared, now);
+        self.local_ledger.forget(now);
+        trim(&mut self.crash_notes, now);
+        trim(&mut self.completion_notes, now);
         let aged = |(at, note): &(Time, CrashNote)| CrashNote { age: now.since(*at), ..*note };
         CrashNotes {
-            crashes: self.seen.iter().map(aged).collect(),
-            completed: self.cleared.iter().map(|(_, request)| *request).collect(),
+            crashes: self.crash_notes.iter().map(aged).collect(),
+            completed: self.completion_notes.iter().map(|(_, request)| *request).collect(),
         }
     }
 
-    /// Takes what control says is blocked. A request that ran well here after the first crash that
-    /// speaks against it is spoken for. Returns those that are new, and those that are let go.
+    /// Sets the requests that the control group has blocked. A request that completed here after
+    /// the first crash of its evidence is reported as completed. Returns the added and the removed
+    /// requests.
     pub fn set_blocked(
         &mut self,
         blocked: &[BlockedRequest],
         now: Time,
     ) -> (Vec<RequestDigest>, Vec<RequestDigest>) {
-        let next: HashSet<RequestDigest> = blocked.iter().map(|one| one.request).collect();
+        let next: HashSet<RequestDigest> = blocked.iter().map(|entry| entry.request).collect();
         let added: Vec<RequestDigest> = next.difference(&self.blocked).copied().collect();
-        let gone = self.blocked.difference(&next).copied().collect();
-        for one in blocked.iter().filter(|one| added.contains(&one.request)) {
-            let first = now - one.evidence;
-            if self.completed.at.get(&one.request).is_some_and(|at| *at > first) {
-                self.clear(one.request, now);
+        let removed = self.blocked.difference(&next).copied().collect();
+        for entry in blocked.iter().filter(|entry| added.contains(&entry.request)) {
+            let first_crash = now - entry.evidence;
+            if self.completions.completed_at.get(&entry.request).is_some_and(|at| *at > first_crash)
+            {
+                self.report_completion(entry.request, now);
             }
         }
         self.blocked = next;
-        (added, gone)
+        (added, removed)
     }
 }
 
-/// Leaves out what is old, and what is more than can be told.
+/// Drops entries that are too old, or beyond the maximum.
 fn trim<T>(entries: &mut VecDeque<(Time, T)>, now: Time) {
-    while entries.front().is_some_and(|(at, _)| *at + TOLD_FOR < now) || entries.len() > MAX_NOTES {
+    while entries.front().is_some_and(|(at, _)| *at + REPORT_TIME < now)
+        || entries.len() > MAX_REPORTED
+    {
         entries.pop_front();
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,9 @@
 //! Transparent forwarding of HTTP requests to registered replicas, as pure state machines.
 //!
-//! A [`Catalog`] says which route a request takes, who may send it and what may be repeated. The
-//! [`Balancer`] knows the replicas and chooses one. A [`RetryBudget`] bounds repeats, and a
-//! [`RequestPlan`] decides after each attempt whether to try again or what to answer. Nothing here
-//! opens a socket or reads a clock.
+//! A [`Catalog`] holds the routes, services and tenants. The [`Balancer`] records what is known of
+//! each replica and chooses one for a request. A [`RetryBudget`] bounds retries, and a
+//! [`RequestPlan`] decides after each attempt whether to retry or which response to send.
+//! [`GatewayState`] combines them. Nothing here opens a socket or reads a clock.
 
 mod balancer;
 mod budget;
@@ -11,14 +11,14 @@
 mod connections;
 mod crashes;
 mod estimator;
-mod knowledge;
-mod lateness;
+mod load_shedding;
+mod placement_request;
 mod plan;
 mod prompt;
-mod question;
 mod quota;
 mod shards;
 mod split;
+mod state;
 mod stores;
 
 pub use balancer::{
@@ -33,13 +33,13 @@
 pub use connections::{ConnectionReuse, ConnectionSettings, IdleConnection, ResponseEnd};
 pub use crashes::CrashTracker;
 pub use estimator::PrefillEstimator;
-pub use knowledge::{Admission, GatewaySettings, GatewayState, LimitUpdate};
-pub use lateness::TtftEstimate;
+pub use load_shedding::TtftEstimate;
+pub use placement_request::{PlacementOffer, PlacementRequest};
 pub use plan::{AttemptEnd, NextStep, RequestPlan};
 pub use prompt::{Prompt, PromptPart};
-pub use question::{PlacementOffer, PlacementRequest};
 pub use quota::{GrantResponse, Granter, LimitUnit, QuotaSettings, STRIPES, StripeId, TenantLimit};
 pub use shards::{GatewayList, MAX_BROADCAST_PEERS, Shard};
+pub use state::{Admission, GatewaySettings, GatewayState, LimitUpdate};
 pub use stores::{
     MAX_STORE_READERS, StoreChange, StoreEvents, StoreKey, StoredPrompt, Stores, cache_salt,
 };
--- a/crates/gateway/src/plan.rs
+++ b/crates/gateway/src/plan.rs
@@ -1,34 +1,34 @@
-//! What follows an attempt: another one, or which answer.
+//! Decides after each attempt of a request whether to retry or which response to send.
 
 use topazmount_types::{ErrorKind, RunState};
 
 /// How an attempt at a replica ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No connection came up; no byte was handed over.
+    /// No connection could be opened; no byte was sent.
     Unreachable,
-    /// The replica said that it did not run the request.
+    /// The replica reported that it did not run the request.
     NotRun,
-    /// The same, and it asked for rest.
+    /// The replica reported that it did not run the request, and asked for backoff.
     PushedBack,
-    /// It asked for rest, said that it leaves, or ended after it was chosen: no byte of this attempt was handed over.
+    /// The replica pushed back, left or ended after it was chosen; no byte was sent.
     NotSent,
-    /// Another replica has the address, and said so.
+    /// Another replica uses the address, and reported that.
     WrongInstance,
-    /// The replica did not run the request, since it holds other weights than that named; it is asked again, with what is
-    /// believed of it now.
+    /// The replica has another version than required and did not run the request; it is retried
+    /// with the version that is recorded now.
     VersionMismatch,
-    /// The replica did not run the request, since it holds older weights than that named.
+    /// The replica has older weights than required and did not run the request.
     OutdatedWeights,
-    /// The connection ended, or something that is no answer came, after bytes were handed over.
+    /// The connection broke, or no valid response came, after bytes were sent.
     Broken,
-    /// A whole answer that reports a failure came.
+    /// A complete response that reports a failure.
     Failed,
-    /// Nothing came for so long that another replica is tried; the budget has allowed that.
+    /// No response came in time, and the budget allows a retry at another replica.
     Unresponsive,
-    /// Nothing came, and the replica must not begin any more, but nothing may be repeated either.
+    /// No response came and the replica is excluded by now, but no retry is allowed.
     Abandoned,
-    /// The time of the request is over.
+    /// The request timed out.
     TimedOut,
 }
 
@@ -52,53 +52,54 @@
     }
 }
 
-/// What to do next.
+/// What to do after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Send the request to another replica; else give this answer.
+    /// Send the request to another replica, or send the fallback response.
     Retry {
-        /// Answer when it can't be sent again.
+        /// Response if there is no further attempt.
         fallback: ErrorKind,
-        /// Whether the budget must allow it, since an earlier attempt arrived at a replica.
+        /// Whether the retry budget must allow it, as an earlier attempt reached a replica.
         needs_budget: bool,
     },
-    /// Pass the replica's failure on as it is, unless the budget allows another attempt.
+    /// Forward the replica's failure unless the budget allows a retry.
     RetryOrForward,
-    /// Pass the replica's failure on as it is.
+    /// Forward the replica's failure.
     Forward,
-    /// Give this answer.
+    /// Send this response.
     Respond(ErrorKind),
 }
 
-/// One request's attempts. Invariant: a request that may not be repeated is never sent again once
-/// a replica may have begun work on it, and an answer that promises "not run" is given only where
-/// every replica that was sent the request said so, or no byte reached one.
+/// Attempts of one request. Invariant: a request that is not retryable is never sent again once a
+/// replica may have started it, and a response promises "not run" only if every replica that
+/// received the request reported so.
 #[derive(Clone, Debug)]
 pub struct RequestPlan {
     is_retryable: bool,
     attempts_left: u32,
     may_have_run: bool,
-    has_arrived: bool,
-    /// Names of the incarnations tried: what reached an earlier one may run there or have run, and says nothing of the next.
+    has_reached_replica: bool,
+    /// Names of the incarnations tried.
     tried: Vec<String>,
-    /// Name of the one incarnation that may be sent the request next.
+    /// Name of the only incarnation that may be sent the request next.
     pinned_to: Option<String>,
-    /// Whether the incarnation tried last was asked again already, so that weights that change all the time hold nobody.
-    was_asked_again: bool,
+    /// Whether the last incarnation was already retried; a second version mismatch goes to another
+    /// one.
+    was_retried: bool,
 }
 
 impl RequestPlan {
-    /// A request that may be sent to `attempts` replicas.
+    /// Creates the plan of a request that may be sent to `attempts` replicas.
     pub fn new(is_repeatable: bool, attempts: u32) -> Self {
         let attempts_left = attempts.max(1);
         RequestPlan {
             is_retryable: is_repeatable,
             attempts_left,
             may_have_run: false,
-            has_arrived: false,
+            has_reached_replica: false,
             tried: Vec::new(),
             pinned_to: None,
-            was_asked_again: false,
+            was_retried: false,
         }
     }
 
@@ -107,7 +108,7 @@
         &self.tried
     }
 
-    /// Name of the incarnation that must be sent the request next, if not any other may be.
+    /// Name of the incarnation that the request is pinned to, if any.
     pub fn pinned_to(&self) -> Option<&String> {
         self.pinned_to.as_ref()
     }
@@ -117,41 +118,41 @@
         self.is_retryable
     }
 
-    /// Whether another replica may be sent the request although one has it.
+    /// Whether the request may be sent to another replica while one has it.
     pub fn may_resend(&self) -> bool {
         self.is_retryable && self.attempts_left > 0
     }
 
-    /// Whether a replica may have begun work on the request.
+    /// Whether a replica may have started the request.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// What an answer may say about the request.
+    /// What a response may state about the request.
     pub fn run_state(&self) -> RunState {
         if self.may_have_run { RunState::Unknown } else { RunState::NotRun }
     }
 
-    /// Notes that an attempt begins at an incarnation of a replica, by its name.
+    /// Records the start of an attempt at an incarnation.
     pub fn begin(&mut self, incarnation: String) {
         self.attempts_left = self.attempts_left.saturating_sub(1);
-        self.was_asked_again = self.pinned_to.as_ref() == Some(&incarnation);
+        self.was_retried = self.pinned_to.as_ref() == Some(&incarnation);
         self.tried.push(incarnation);
         self.pinned_to = None;
     }
 
-    /// Lets go of the incarnation that the request was held to, which is there no more. Returns whether another replica may
-    /// be sent it.
+    /// Unpins the request from an incarnation that has ended. Returns whether another replica may
+    /// be tried.
     pub fn unpin(&mut self) -> bool {
-        let Some(held_to) = self.pinned_to.take() else { return false };
-        self.tried.push(held_to);
+        let Some(incarnation) = self.pinned_to.take() else { return false };
+        self.tried.push(incarnation);
         self.attempts_left = self.attempts_left.saturating_sub(1);
         self.attempts_left > 0
     }
 
-    /// Decides what follows an attempt.
+    /// Records the end of an attempt and decides what to do next.
     pub fn end(&mut self, end: AttemptEnd) -> NextStep {
-        let may_be_at_work = matches!(
+        let may_be_running = matches!(
             end,
             AttemptEnd::Broken
                 | AttemptEnd::Failed
@@ -159,42 +160,40 @@
                 | AttemptEnd::Abandoned
                 | AttemptEnd::TimedOut
         );
-        self.may_have_run |= may_be_at_work;
+        self.may_have_run |= may_be_running;
         match end {
-            // Nothing was sent, so the replica does not count among those that were sent it.
+            // Nothing was sent, so the attempt does not count.
             AttemptEnd::Unreachable | AttemptEnd::NotSent => self.attempts_left += 1,
-            // Nothing runs there; the budget bounds how many are asked.
+            // The request did not run, so the attempt does not count; the budget limits retries.
             AttemptEnd::PushedBack => {
                 self.attempts_left += 1;
-                self.has_arrived = true;
+                self.has_reached_replica = true;
             }
-            // The same replica is asked again, so that no further one counts.
-            AttemptEnd::VersionMismatch if !self.was_asked_again => {
+            // The same replica is retried, so the attempt does not count.
+            AttemptEnd::VersionMismatch if !self.was_retried => {
                 self.attempts_left += 1;
                 self.pinned_to = self.tried.pop();
-                self.has_arrived = true;
+                self.has_reached_replica = true;
             }
-            _ => self.has_arrived = true,
+            _ => self.has_reached_replica = true,
         }
         let may_retry = self.attempts_left > 0 && (self.is_retryable || !self.may_have_run);
-        let otherwise = self.refusal();
+        let fallback = self.refusal();
         match end {
             AttemptEnd::TimedOut => NextStep::Respond(ErrorKind::OutcomeTimedOut),
             AttemptEnd::Failed if may_retry => NextStep::RetryOrForward,
             AttemptEnd::Failed => NextStep::Forward,
-            AttemptEnd::Abandoned => NextStep::Respond(otherwise),
-            // Allowed before the replica was let go.
+            AttemptEnd::Abandoned => NextStep::Respond(fallback),
+            // The budget was asked before the attempt ended.
             AttemptEnd::Unresponsive if may_retry => {
-                NextStep::Retry { fallback: otherwise, needs_budget: false }
-            }
-            _ if may_retry => {
-                NextStep::Retry { fallback: otherwise, needs_budget: self.has_arrived }
+                NextStep::Retry { fallback, needs_budget: false }
             }
-            _ => NextStep::Respond(otherwise),
+            _ if may_retry => NextStep::Retry { fallback, needs_budget: self.has_reached_replica },
+            _ => NextStep::Respond(fallback),
         }
     }
 
-    /// Answer for a request whose time or attempts are over.
+    /// Response to a request without further attempts.
     pub fn refusal(&self) -> ErrorKind {
         if self.may_have_run { ErrorKind::OutcomeUnknown } else { ErrorKind::NoReplica }
     }
--- a/crates/gateway/src/quota/authority.rs
+++ b/crates/gateway/src/quota/authority.rs
@@ -1,13 +1,15 @@
-//! For which stripes of limits this gateway may grant, so that no other one does at the same time.
+//! Decides which stripes this gateway may grant, so that no stripe has two granters at the same
+//! time.
 //!
-//! All gateways rank each other alike for a stripe, by the list that the leader of the control group keeps. The first
-//! one of the newest list that a gateway has may grant, for [`LEASE`] from when it asked for its newest answer of the
-//! leader. Whoever becomes the first must have asked for an answer, in which it still is the first, after whoever was it
-//! before could not grant any more without having asked the leader too, and so being in that list:
-//!
-//! - The first one was dropped from the list: the leader had not heard from it for [`GATEWAY_SILENCE`], and the rest of
-//!   [`LEASE`] ends its lease.
-//! - Else, and where the leader is new and may not have heard from the first one yet: a whole [`LEASE`].
+//! All gateways rank each other alike for a stripe by rendezvous hashing, based on the list that
+//! the leader of the control group keeps. The first gateway of the newest list may grant for
+//! [`LEASE`], counted from when it requested the leader's newest response. A new first gateway may
+//! grant only after it has requested a response, in which it still is the first, after the end of
+//! the previous one's lease. That lease ends:
+//! - after the rest of [`LEASE`], if the leader dropped the previous one from the list, as it had
+//!   not received a report from it for [`GATEWAY_SILENCE`];
+//! - after a whole [`LEASE`] otherwise, and if the leader is new and may not know the previous one
+//!   yet.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -16,54 +18,55 @@
 use topazmount_routing::rendezvous_weight;
 use topazmount_types::{ReplicaId, Time};
 
-/// Time for which a gateway may grant after it asked for an answer that the leader then gave. The loss of a leader takes up to
-/// 2.5 s (an election and the limits on calls that hang), in which grants must go on.
+/// Time for which a gateway may grant after it requested a response of the leader. It outlasts the
+/// election of a new leader.
 pub(super) const LEASE: Duration = Duration::from_secs(3);
-/// What is left of the lease of a gateway when the leader drops it.
-const REST_OF_LEASE: Duration =
+/// Remaining lease of a gateway when the leader drops it.
+const REMAINING_LEASE: Duration =
     Duration::from_millis(LEASE.as_millis() as u64 - GATEWAY_SILENCE.as_millis() as u64);
-/// Time for which a gateway is remembered that is no longer named: a bucket that rested for as long is full.
-const MEMORY: Duration = Duration::from_secs(60);
+/// Time for which a gateway that is no longer listed is remembered; unused buckets are full by
+/// then.
+const MAX_MEMORY: Duration = Duration::from_secs(60);
 
-/// A gateway of the newest list, or one that was lately.
+/// Whether a gateway is in the newest list.
 #[derive(Clone, Copy, Debug)]
 enum Presence {
-    Named,
-    /// A leader that had heard of all who may grant did not hear from it any more.
+    Listed,
+    /// Dropped from the list by a leader that knew all granters.
     Dropped(Time),
-    /// A list did not name it whose leader was new.
+    /// Not in the list of a new leader.
     Missing(Time),
 }
 
 impl Presence {
-    fn gone_since(self) -> Option<Time> {
+    fn unlisted_since(self) -> Option<Time> {
         match self {
-            Presence::Named => None,
+            Presence::Listed => None,
             Presence::Dropped(at) | Presence::Missing(at) => Some(at),
         }
     }
 
-    /// From when on it can't grant if it has not asked the leader again.
-    fn ends_at(self) -> Time {
+    /// When its lease ends at the latest, unless it has contacted the leader again.
+    fn lease_ends_at(self) -> Time {
         match self {
-            Presence::Named => Time::NEVER,
-            Presence::Dropped(at) => at + REST_OF_LEASE,
+            Presence::Listed => Time::NEVER,
+            Presence::Dropped(at) => at + REMAINING_LEASE,
             Presence::Missing(at) => at + LEASE,
         }
     }
 }
 
-/// What this gateway has heard of the leader's lists, without a break longer than a lease.
+/// The leader's lists as received by this gateway, without a gap longer than a lease.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Authority {
     own: Option<ReplicaId>,
     gateways: HashMap<ReplicaId, Presence>,
-    /// Term of the newest list, and when the first one of that term came.
+    /// Term of the newest list, and when the first list of that term was received.
     term: Option<(Term, Time)>,
-    /// When the newest answer of a leader was asked for.
+    /// When the newest response of a leader was requested.
     confirmed_at: Option<Time>,
-    /// When the answers without a break began.
-    began_at: Time,
+    /// When the responses without a gap began.
+    contact_since: Time,
 }
 
 impl Authority {
@@ -71,7 +74,7 @@
         self.own = Some(own);
     }
 
-    /// Takes an answer of a leader that holds its lease; `list` is the list in it, if that changed.
+    /// Applies a response of a leader that holds its lease; `list` is set if the list changed.
     pub(super) fn confirm(
         &mut self,
         asked_at: Time,
@@ -79,7 +82,7 @@
         now: Time,
     ) {
         if self.confirmed_at.is_none_or(|at| now >= at + LEASE) {
-            self.began_at = now;
+            self.contact_since = now;
         }
         self.confirmed_at = self.confirmed_at.max(Some(asked_at));
         if let Some((term, ids)) = list {
@@ -87,53 +90,61 @@
         }
     }
 
-    fn set_list(&mut self, term: Term, named: &HashSet<ReplicaId>, now: Time) {
+    fn set_list(&mut self, term: Term, listed: &HashSet<ReplicaId>, now: Time) {
         if self.term.is_none_or(|(known, _)| known != term) {
             self.term = Some((term, now));
         }
-        let is_settled = self.term.is_some_and(|(_, since)| now >= since + LEASE);
+        let knows_all_gateways = self.term.is_some_and(|(_, since)| now >= since + LEASE);
         for (id, presence) in &mut self.gateways {
-            if matches!(presence, Presence::Named) && !named.contains(id) {
-                *presence = match is_settled {
+            if matches!(presence, Presence::Listed) && !listed.contains(id) {
+                *presence = match knows_all_gateways {
                     true => Presence::Dropped(now),
                     false => Presence::Missing(now),
                 };
             }
         }
-        self.gateways.extend(named.iter().map(|id| (*id, Presence::Named)));
-        self.gateways.retain(|_, one| one.gone_since().is_none_or(|at| now < at + MEMORY));
+        self.gateways.extend(listed.iter().map(|id| (*id, Presence::Listed)));
+        self.gateways
+            .retain(|_, presence| presence.unlisted_since().is_none_or(|at| now < at + MAX_MEMORY));
     }
 
-    /// Who grants a stripe, as far as is known. Whoever is no longer named still counts until another one may grant: a
-    /// new leader's first lists are short.
-    pub(super) fn first(&self, stripe: u64, now: Time) -> Option<ReplicaId> {
-        let may_grant = |one: &Presence| one.gone_since().is_none_or(|at| now < at + REST_OF_LEASE);
-        let open = self.gateways.iter().filter(|(_, one)| may_grant(one)).map(|(id, _)| *id);
-        open.max_by_key(|id| rendezvous_weight(stripe, *id))
+    /// The granter of a stripe as far as known. A gateway that is no longer listed counts until
+    /// another one may grant, as a new leader's first lists are incomplete.
+    pub(super) fn granter(&self, stripe: u64, now: Time) -> Option<ReplicaId> {
+        let may_grant = |presence: &Presence| {
+            presence.unlisted_since().is_none_or(|at| now < at + REMAINING_LEASE)
+        };
+        let candidates =
+            self.gateways.iter().filter(|(_, presence)| may_grant(presence)).map(|(id, _)| *id);
+        candidates.max_by_key(|id| rendezvous_weight(stripe, *id))
     }
 
-    /// Since when this gateway may have granted a stripe without a break; `None` where it may not.
-    pub(super) fn holds(&self, stripe: u64, now: Time) -> Option<Held> {
+    /// Returns since when this gateway has been the granter of a stripe without a break; `None` if
+    /// it may not grant.
+    pub(super) fn grant_authority(&self, stripe: u64, now: Time) -> Option<GrantAuthority> {
         let own = self.own?;
         let confirmed_at = self.confirmed_at.filter(|at| now < *at + LEASE)?;
         let weight = rendezvous_weight(stripe, own);
-        let mut held = Held { first_at: self.began_at, others_ended_at: self.began_at + LEASE };
+        let mut authority = GrantAuthority {
+            granter_since: self.contact_since,
+            exclusive_since: self.contact_since + LEASE,
+        };
         for (id, presence) in &self.gateways {
             if rendezvous_weight(stripe, *id) <= weight {
                 continue;
             }
-            held.first_at = held.first_at.max(presence.gone_since()?);
-            held.others_ended_at = held.others_ended_at.max(presence.ends_at());
+            authority.granter_since = authority.granter_since.max(presence.unlisted_since()?);
+            authority.exclusive_since = authority.exclusive_since.max(presence.lease_ends_at());
         }
-        (confirmed_at >= held.others_ended_at).then_some(held)
+        (confirmed_at >= authority.exclusive_since).then_some(authority)
     }
 }
 
-/// That a gateway may grant a stripe.
+/// Authority of a gateway to grant a stripe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Held {
-    /// Since when it has been the first without a break.
-    pub first_at: Time,
-    /// From when on nobody else could grant.
-    pub others_ended_at: Time,
+pub(super) struct GrantAuthority {
+    /// Since when it has been the granter without a break.
+    pub granter_since: Time,
+    /// Since when no other gateway could grant.
+    pub exclusive_since: Time,
 }
--- a/crates/gateway/src/quota/limit.rs
+++ b/crates/gateway/src/quota/limit.rs
@@ -1,34 +1,35 @@
-//! How much of a limit may be used, and how that is divided.
+//! Limits, and how they are divided into stripes and allowances.
 
 use std::time::Duration;
 use topazmount_admission::RequestLimit;
 
-/// Parts that a tenant's limit is divided into, each granted by a gateway of its own. Tenants use about half of their
-/// limits: with three parts, two carry a tenant while the gateway of the third is being replaced.
+/// Number of parts that a tenant's limit is divided into, each with its own granter. With three,
+/// the others can serve a tenant while one granter is replaced.
 pub const STRIPES: u8 = 3;
-/// Part of what may be used beyond a limit that each stripe adds to its burst. The first takes most, so that one of them
-/// can grant the largest request.
-const EXCESS: [f64; STRIPES as usize] = [0.3, 0.08, 0.08];
-/// Part of what may be used beyond a limit that all gateways together may spend without a grant: where 79 gateways have
-/// started anew and nobody may grant yet, a short prompt or two of each tenant at each of them. The rest, a
-/// tenth, is kept back for clocks that don't go alike.
-const UNGRANTED: f64 = 0.45;
-/// Part of a gateway's share of that which it may spend at once; the rest comes over the window.
-const UNGRANTED_AT_ONCE: f64 = 0.75;
+/// Share of the permitted excess that each stripe adds to its burst. The first has the largest, so
+/// that one stripe can grant the largest request.
+const STRIPE_EXCESS_SHARES: [f64; STRIPES as usize] = [0.3, 0.08, 0.08];
+/// Share of the permitted excess that all gateways together may spend without a grant. The shares
+/// add up to less than 1, as a reserve for differences between clocks.
+const UNGRANTED_SHARE: f64 = 0.45;
+/// Share of a gateway's ungranted allowance that it may spend as a burst; the rest accrues over the
+/// window.
+const UNGRANTED_BURST_SHARE: f64 = 0.75;
 
-/// Least rate of requests to a replica that names a limit, in requests a second: a limit that is named no more must be noticed.
-const PROBE_RATE: f64 = 0.1;
-/// Time in which the burst of a replica's limit beyond one request comes together.
-const REPLICA_BURST: Duration = Duration::from_millis(250);
+/// Minimum rate of requests to a replica with a limit, in requests per second, so that the end of a
+/// limit is noticed.
+const MIN_REPLICA_RATE: f64 = 0.1;
+/// Time at a replica's limit whose requests may be sent as a burst, in addition to one request.
+const REPLICA_BURST_TIME: Duration = Duration::from_millis(250);
 
-/// What a limit counts.
+/// Unit of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitUnit {
-    /// Each request counts one.
+    /// Each request counts as one.
     Requests,
-    /// A request counts its tokens, in and out; one that does not tell them counts `untold`.
+    /// A request counts its input and output tokens, or `unspecified` if it does not state them.
     Tokens {
-        /// Tokens of a request that does not tell them.
+        /// Tokens of a request that does not state them.
         unspecified: u32,
     },
 }
@@ -36,33 +37,33 @@
 /// A tenant's limit over all gateways together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantLimit {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units beyond that, at once.
+    /// Additional units that may be used as a burst.
     pub burst: f64,
-    /// What is counted.
+    /// Unit that is counted.
     pub unit: LimitUnit,
 }
 
 impl TenantLimit {
-    /// What a request counts that told so many tokens.
+    /// Units of a request that states this number of tokens.
     pub fn cost(&self, tokens: Option<u32>) -> u32 {
         match self.unit {
             LimitUnit::Requests => 1,
-            LimitUnit::Tokens { unspecified: untold } => tokens.unwrap_or(untold),
+            LimitUnit::Tokens { unspecified } => tokens.unwrap_or(unspecified),
         }
     }
 }
 
-/// How far all gateways together may exceed a limit: within any `window` what a tenant uses is at most
+/// How far all gateways together may exceed a limit: within any `window` a tenant uses at most
 /// (rate x window + burst) x (1 + `overrun`) + `slack`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaSettings {
     /// Length of the sliding window.
     pub window: Duration,
-    /// Share beyond the limit.
+    /// Permitted excess as a share of the limit.
     pub overrun: f64,
-    /// Units beyond that.
+    /// Permitted excess in units.
     pub slack: f64,
 }
 
@@ -80,23 +81,23 @@
     /// Rate and burst of one stripe.
     pub(super) fn stripe(&self, limit: &TenantLimit, stripe: u8) -> Allowance {
         let parts = f64::from(STRIPES);
-        let excess = EXCESS.get(usize::from(stripe)).copied().unwrap_or(0.0);
+        let excess = STRIPE_EXCESS_SHARES.get(usize::from(stripe)).copied().unwrap_or(0.0);
         Allowance {
             rate: limit.rate / parts,
             burst: limit.burst / parts + excess * self.excess(limit),
         }
     }
 
-    /// Rate and burst of what one of so many gateways may spend without a grant.
+    /// Rate and burst of what each of `gateways` gateways may spend without a grant.
     pub(super) fn ungranted(&self, limit: &TenantLimit, gateways: usize) -> Allowance {
-        let share = UNGRANTED * self.excess(limit) / gateways.max(1) as f64;
-        let burst = share * UNGRANTED_AT_ONCE;
-        // Any window then has the whole share at most.
+        let share = UNGRANTED_SHARE * self.excess(limit) / gateways.max(1) as f64;
+        let burst = share * UNGRANTED_BURST_SHARE;
+        // In any window, burst and rate together give at most the share.
         Allowance { rate: (share - burst) / self.window.as_secs_f64(), burst }
     }
 }
 
-/// What may be spent: a rate with a burst.
+/// A rate with a burst.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Allowance {
     pub rate: f64,
@@ -104,12 +105,13 @@
 }
 
 impl Allowance {
-    /// What may be sent to a replica that names a limit.
+    /// Allowance for requests to a replica with a limit.
     ///
-    /// A request arrives within half a second of its grant. Of any 4 s, the requests of 4.5 s at the limit's rate and the
-    /// burst arrive at most; replicas bear those of 6 s and five more.
+    /// A request arrives within 0.5 s of its grant, so the requests that arrive within 4 s are
+    /// those of at most 4.5 s at the limit's rate, and the burst. Replicas accept those of 6 s and
+    /// five more.
     pub(super) fn of_replica(limit: RequestLimit) -> Self {
-        let rate = limit.rate().max(PROBE_RATE);
-        Allowance { rate, burst: 1.0 + rate * REPLICA_BURST.as_secs_f64() }
+        let rate = limit.rate().max(MIN_REPLICA_RATE);
+        Allowance { rate, burst: 1.0 + rate * REPLICA_BURST_TIME.as_secs_f64() }
     }
 }
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -1,20 +1,21 @@
-//! Limits of tenants, and of replicas, over all gateways together.
+//! Limits of tenants and of replicas over all gateways together.
 //!
-//! A tenant's limit is divided into [`STRIPES`]. One gateway at a time grants of a stripe, from a bucket; whoever has a
-//! request asks it. The sum of all grants keeps the limit, since a stripe never has two granters ([`authority`]), a
-//! new granter begins with the bucket empty at the time at which the one before it had to end, and a grant is given
-//! between the sending of its request and the arrival at a replica. Who reaches no granter spends its part of what may
-//! be used beyond the limit.
+//! A tenant's limit is divided into [`STRIPES`]. Each stripe has one granter at a time, a gateway
+//! that grants units from a token bucket; a gateway with a request asks the granter. The grants
+//! together keep the limit, as a stripe never has two granters ([`authority`]), a new granter
+//! starts with a bucket that was empty when the previous one had to stop, and a request is granted
+//! after it arrives and before it is sent to a replica. A gateway that reaches no granter spends
+//! its share of what may exceed the limit.
 //!
-//! The limit that a replica names is one stripe, of one request each. Nothing is sent to such a replica without a grant:
-//! others may be sent the request.
+//! The limit of a replica is a single stripe, and each request takes one unit. Requests are never
+//! sent to such a replica without a grant, as other replicas may take them.
 
 mod authority;
-mod granter;
+mod grants;
 mod limit;
 
 use authority::Authority;
-use granter::{GrantBuckets, RetryOrder};
+use grants::{GrantBuckets, RetryOrder};
 use limit::Allowance;
 pub use limit::{LimitUnit, QuotaSettings, STRIPES, TenantLimit};
 use serde::{Deserialize, Serialize};
@@ -25,18 +26,18 @@
 use topazmount_consensus::Term;
 use topazmount_types::{ReplicaId, Time};
 
-/// Time for which a granter that did not answer is not asked.
-const SILENCE: Duration = Duration::from_secs(1);
+/// Time for which a granter that did not respond is not asked again.
+const RETRY_GRANTER_AFTER: Duration = Duration::from_secs(1);
 
-/// Gateways whose addresses are remembered beyond those that are named; 300 KB at most.
-const MOST_REMEMBERED: usize = 4_096;
+/// Maximum number of remembered gateway addresses, unless more are listed.
+const MAX_REMEMBERED_GATEWAYS: usize = 4_096;
 
-/// A stripe of a limit.
+/// Identifies a stripe of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StripeId {
-    /// Hash of the name of whose limit it is: a tenant, or an incarnation of a replica.
+    /// Hash of the name of the limit's owner: a tenant, or an incarnation of a replica.
     pub owner: u64,
-    /// Which of its stripes.
+    /// Index of the stripe.
     pub stripe: u8,
 }
 
@@ -46,60 +47,62 @@
         StripeId { owner: incarnation, stripe: 0 }
     }
 
-    /// What names it in rankings.
+    /// Key for rendezvous hashing.
     fn key(self) -> u64 {
         self.owner.rotate_left(u32::from(self.stripe) * 8 + 1) ^ u64::from(self.stripe)
     }
 }
 
-/// What a granter says.
+/// Response of a granter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GrantResponse {
-    /// The request may run.
+    /// The units are granted.
     Granted,
-    /// The stripe is used up; it has enough again after this time, if nobody else takes it.
+    /// The stripe is used up; it has enough units after this time if nobody else takes them.
     #[serde(rename = "Over")]
     LimitExceeded(Duration),
-    /// It may not grant of this stripe.
+    /// The responding gateway is not the granter of the stripe.
     #[serde(rename = "NotHolder")]
     NotGranter,
 }
 
-/// Whose limit a grant is of.
+/// Kind of a limit's owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LimitOwner {
-    /// A tenant's.
+    /// A tenant.
     Tenant,
-    /// A replica's. Older gateways know nothing of these and give no answer, though they grant of tenants' limits.
+    /// A replica. Gateways of legacy builds don't respond to requests for these, though they do for
+    /// tenants.
     Replica,
 }
 
-/// Where a grant can be had.
+/// The gateway that grants a stripe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Granter {
-    /// From this gateway itself.
+    /// This gateway.
     Local,
-    /// From another one.
+    /// Another gateway, by its datagram address.
     Remote(SocketAddr),
 }
 
-/// What one gateway knows of limits, grants of them, and spends without a grant.
+/// One gateway's state for limits: the granters, its own grants, and what it spends without a
+/// grant.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Quotas {
     settings: QuotaSettings,
     authority: Authority,
     own: Option<ReplicaId>,
     addresses: HashMap<ReplicaId, SocketAddr>,
-    granter: GrantBuckets,
-    ungranted: HashMap<u64, TokenBucket>,
-    silent_until: HashMap<(LimitOwner, SocketAddr), Time>,
+    grants: GrantBuckets,
+    ungranted_buckets: HashMap<u64, TokenBucket>,
+    unresponsive_until: HashMap<(LimitOwner, SocketAddr), Time>,
 }
 
 impl Quotas {
-    pub(crate) fn set(&mut self, settings: QuotaSettings) {
+    pub(crate) fn set_settings(&mut self, settings: QuotaSettings) {
         if self.settings != settings {
             self.settings = settings;
-            self.ungranted.clear();
+            self.ungranted_buckets.clear();
         }
     }
 
@@ -109,49 +112,49 @@
         self.authority.set_own(id);
     }
 
-    /// Takes an answer of a leader that holds its lease; `list` has its term and the addresses of all gateways, if they
-    /// changed.
+    /// Applies a response of a leader that holds its lease; `list` has its term and the addresses
+    /// of all gateways, if they changed.
     pub(crate) fn confirm(
         &mut self,
         asked_at: Time,
         list: Option<(Term, Vec<SocketAddr>)>,
         now: Time,
     ) {
-        let named = list.map(|(term, addresses)| {
+        let listed = list.map(|(term, addresses)| {
             let id = |address: &SocketAddr| ReplicaId::from_name(&address.to_string());
-            let named = addresses.iter().map(|address| (id(address), *address));
-            self.addresses.extend(named);
-            if self.addresses.len() > MOST_REMEMBERED.max(addresses.len() * 2) {
+            let listed = addresses.iter().map(|address| (id(address), *address));
+            self.addresses.extend(listed);
+            if self.addresses.len() > MAX_REMEMBERED_GATEWAYS.max(addresses.len() * 2) {
                 self.addresses = addresses.iter().map(|address| (id(address), *address)).collect();
             }
             (term, addresses.iter().map(id).collect())
         });
-        self.authority.confirm(asked_at, named, now);
+        self.authority.confirm(asked_at, listed, now);
     }
 
-    /// Who grants of a stripe; `None` where nobody is known that answers.
-    pub(crate) fn granting(
+    /// Granter of a stripe; `None` if no responsive one is known.
+    pub(crate) fn granter(
         &self,
         owner: LimitOwner,
         stripe: StripeId,
         now: Time,
     ) -> Option<Granter> {
-        let first = self.authority.first(stripe.key(), now)?;
-        if self.own == Some(first) {
+        let granter_id = self.authority.granter(stripe.key(), now)?;
+        if self.own == Some(granter_id) {
             return Some(Granter::Local);
         }
-        let address = self.addresses.get(&first)?;
-        let silent_until = self.silent_until.get(&(owner, *address));
-        let is_silent = silent_until.is_some_and(|until| now < *until);
-        (!is_silent).then_some(Granter::Remote(*address))
+        let address = self.addresses.get(&granter_id)?;
+        let unresponsive_until = self.unresponsive_until.get(&(owner, *address));
+        let is_unresponsive = unresponsive_until.is_some_and(|until| now < *until);
+        (!is_unresponsive).then_some(Granter::Remote(*address))
     }
 
-    pub(crate) fn note_silent(&mut self, owner: LimitOwner, address: SocketAddr, now: Time) {
-        self.silent_until.retain(|_, until| now < *until);
-        self.silent_until.insert((owner, address), now + SILENCE);
+    pub(crate) fn on_granter_timeout(&mut self, owner: LimitOwner, address: SocketAddr, now: Time) {
+        self.unresponsive_until.retain(|_, until| now < *until);
+        self.unresponsive_until.insert((owner, address), now + RETRY_GRANTER_AFTER);
     }
 
-    /// Grants of a stripe, if this gateway may.
+    /// Grants units of a stripe, if this gateway is its granter.
     pub(crate) fn grant(
         &mut self,
         stripe: StripeId,
@@ -159,14 +162,14 @@
         amount: u32,
         now: Time,
     ) -> GrantResponse {
-        let Some(held) = self.authority.holds(stripe.key(), now) else {
+        let Some(authority) = self.authority.grant_authority(stripe.key(), now) else {
             return GrantResponse::NotGranter;
         };
         let allowance = self.settings.stripe(limit, stripe.stripe);
-        self.granter.grant(stripe, allowance, held, amount, RetryOrder::Sequential, now)
+        self.grants.grant(stripe, allowance, authority, amount, RetryOrder::Sequential, now)
     }
 
-    /// Grants one request to a replica that names a limit, if this gateway may.
+    /// Grants one request to a replica with a limit, if this gateway is the granter.
     pub(crate) fn grant_send(
         &mut self,
         incarnation: u64,
@@ -174,26 +177,26 @@
         now: Time,
     ) -> GrantResponse {
         let stripe = StripeId::of_replica(incarnation);
-        let Some(held) = self.authority.holds(stripe.key(), now) else {
+        let Some(authority) = self.authority.grant_authority(stripe.key(), now) else {
             return GrantResponse::NotGranter;
         };
-        self.granter.grant(
+        self.grants.grant(
             stripe,
             Allowance::of_replica(limit),
-            held,
+            authority,
             1,
             RetryOrder::Simultaneous,
             now,
         )
     }
 
-    /// Takes back what a request was granted that did not run.
-    pub(crate) fn give_back(&mut self, stripe: StripeId, amount: u32, now: Time) {
-        self.granter.give_back(stripe, amount, now);
+    /// Returns units that were granted for a request that did not run.
+    pub(crate) fn return_units(&mut self, stripe: StripeId, amount: u32, now: Time) {
+        self.grants.return_units(stripe, amount, now);
     }
 
-    /// Takes from this gateway's part of what all may spend without a grant.
-    pub(crate) fn spend_ungranted(
+    /// Takes units from this gateway's allowance without a grant. Returns whether it had enough.
+    pub(crate) fn spend_without_grant(
         &mut self,
         tenant: u64,
         limit: &TenantLimit,
@@ -203,7 +206,7 @@
     ) -> bool {
         let share = self.settings.ungranted(limit, gateways);
         let bucket = self
-            .ungranted
+            .ungranted_buckets
             .entry(tenant)
             .or_insert_with(|| TokenBucket::new(share.rate, share.burst, now));
         bucket.set_rate(share.rate, share.burst, now);
--- a/crates/gateway/src/shards.rs
+++ b/crates/gateway/src/shards.rs
@@ -1,15 +1,11 @@
-//! Shards of a large fleet: to which part of a service's replicas a prompt belongs, and which
+//! Shards of a large fleet: which part of a service's replicas a prompt belongs to, and which
 //! gateways coordinate that part.
 //!
-//! With few gateways each one tells all others of its work. With many, one gateway sees and hears too
-//! little of it to choose well: there each shard of replicas has coordinators, that all find alike
-//! from the list of gateways. Whoever has a prompt asks one of them which replica to take, and tells
-//! them what becomes of it. So the work of a shard is known in one place, and what a gateway spends does
+//! With few gateways each one broadcasts its load updates to all others. With many, each shard of
+//! replicas has coordinators, which all gateways derive alike from the list of gateways. A gateway
+//! with a prompt asks a coordinator which replica to use and sends its load updates to the shard's
+//! coordinators. The load of a shard is thus known in one place, and the cost for each gateway does
 //! not grow with their number.
-//!
-//! Gains, by whole days of a fleet of 69 gateways and 90 replicas, against telling 15 neighbours: prompts
-//! read again 0.18 and 0.28 of all prompt tokens read before, 0.10 and 0.15 after; requests served 0.72 to 0.86
-//! before, 0.88 to 0.96 after (six days).
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap};
@@ -18,81 +14,83 @@
 use topazmount_routing::rendezvous_weight;
 use topazmount_types::{ReplicaId, Time};
 
-/// Gateways that are told of all work: with more of them, prompts are placed by coordinators.
+/// Maximum number of peers that load updates are broadcast to. With more gateways, coordinators
+/// place prompts.
 pub const MAX_BROADCAST_PEERS: usize = 15;
-/// Replicas of a shard, about: few enough for one gateway to follow their work, enough of them for a
-/// busy one to have an idle neighbour.
+/// Approximate number of replicas per shard: few enough for one gateway to track, enough that a
+/// busy one has an idle neighbor.
 const REPLICAS_PER_SHARD: f64 = 16.0;
-/// Coordinators of a shard: the second takes over, knowing all that the first one did.
+/// Number of coordinators of a shard. All receive the same updates, so that the second can take
+/// over.
 const COORDINATORS: usize = 2;
-/// Time for which a coordinator that did not answer is passed over: a restarted one is back within it.
-const SILENCE: Duration = Duration::from_secs(1);
-/// Time for which a gateway that the list no longer names still counts: a new leader of the control group
-/// hears of all gateways within two of their questions, 0.8 s, and its list is short until then.
-const FORGOTTEN: Duration = Duration::from_secs(2);
-/// Questions in a row without any answer after which a gateway takes itself to be cut off, and asks
-/// nobody for that time: a request would wait for each of them.
-const MOST_UNANSWERED: u32 = 4;
-
-/// A shard of a service's replicas: one of `count`, a power of two.
+/// Time for which a coordinator that did not respond is skipped.
+const UNRESPONSIVE_TIME: Duration = Duration::from_secs(1);
+/// Time for which a gateway counts after it disappeared from the list, as the list of a new leader
+/// is incomplete at first.
+const UNLISTED_TIME: Duration = Duration::from_secs(2);
+/// Number of requests without response after which a gateway considers itself cut off and stops
+/// asking for a while.
+const MAX_TIMEOUTS: u32 = 4;
+
+/// A shard of a service's replicas: one of `count`, which is a power of two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Shard {
-    /// Its number.
+    /// Index of the shard.
     pub index: u32,
-    /// Shards of the service.
+    /// Number of shards of the service.
     pub count: u32,
 }
 
 impl Shard {
-    /// Shards that a service of so many replicas is cut into.
+    /// Number of shards for a number of replicas.
     pub(crate) fn count_for(replicas: usize) -> u32 {
         let doublings = (replicas as f64 / REPLICAS_PER_SHARD).log2().round().max(0.0);
         1 << (doublings as u32)
     }
 
-    /// The shard that a replica belongs to. When their number doubles, each shard falls into two.
+    /// The shard that a replica belongs to. When the count doubles, each shard splits into two.
     pub(crate) fn of(replica: ReplicaId, count: u32) -> Self {
         let bits = count.max(1).ilog2();
         Shard { index: replica.0.checked_shr(u64::BITS - bits).unwrap_or(0) as u32, count }
     }
 
-    /// Whether a replica belongs to it.
+    /// Whether a replica belongs to the shard.
     pub(crate) fn contains(self, replica: ReplicaId) -> bool {
         Shard::of(replica, self.count) == self
     }
 
-    /// What names it in rankings.
+    /// Key for rendezvous hashing.
     fn key(self, service: &str) -> u64 {
         ReplicaId::from_name(&format!("{service}/{}/{}", self.index, self.count)).0
     }
 
-    /// Picks its store among the names of all stores.
+    /// Key that selects the shard's store among all stores.
     pub(crate) fn store_key(self) -> u64 {
         self.key("store")
     }
 }
 
-/// One gateway of the list.
+/// A gateway of the list.
 #[derive(Clone, Copy, Debug)]
-struct Listed {
-    /// Where it takes datagrams.
+struct ListedGateway {
+    /// Address at which it receives datagrams.
     address: SocketAddr,
-    /// What it is in rankings.
+    /// Identifier for rendezvous hashing.
     id: ReplicaId,
-    /// Until when it counts, where the newest list does not name it.
+    /// Until when it counts, if the newest list does not contain it.
     until: Time,
 }
 
-/// The gateways as one of them ranks them.
+/// The list of gateways, as known to one of them.
 #[derive(Clone, Debug, Default)]
 pub struct GatewayList {
     own: Option<SocketAddr>,
-    /// In the order of addresses; the own one is among them.
-    all: Vec<Listed>,
-    silent_until: HashMap<SocketAddr, Time>,
-    /// Questions without an answer since the last one.
-    unanswered: u32,
-    alone_until: Time,
+    /// Sorted by address; includes this gateway.
+    all: Vec<ListedGateway>,
+    unresponsive_until: HashMap<SocketAddr, Time>,
+    /// Number of requests without response since the last response.
+    timeouts: u32,
+    cut_off_until: Time,
 }
 
 impl GatewayList {
@@ -102,58 +100,66 @@
         self.set([], Time::ZERO);
     }
 
-    /// Takes the addresses for datagrams of the others. Those that are no longer named count for a while.
+    /// Sets the datagram addresses of the other gateways. Gateways that are no longer listed still
+    /// count for a while.
     pub fn set(&mut self, others: impl IntoIterator<Item = SocketAddr>, now: Time) {
-        let named: BTreeSet<SocketAddr> = others.into_iter().chain(self.own).collect();
-        let (kept, gone): (Vec<Listed>, Vec<Listed>) =
-            self.all.drain(..).partition(|one| named.contains(&one.address));
-        let known: BTreeSet<SocketAddr> = kept.iter().map(|one| one.address).collect();
-        let new = named.difference(&known).map(|address| Listed {
+        let listed_addresses: BTreeSet<SocketAddr> = others.into_iter().chain(self.own).collect();
+        let (kept, gone): (Vec<ListedGateway>, Vec<ListedGateway>) =
+            self.all.drain(..).partition(|gateway| listed_addresses.contains(&gateway.address));
+        let known: BTreeSet<SocketAddr> = kept.iter().map(|gateway| gateway.address).collect();
+        let new = listed_addresses.difference(&known).map(|address| ListedGateway {
             address: *address,
             id: ReplicaId::from_name(&address.to_string()),
             until: Time::NEVER,
         });
-        let kept = kept.iter().map(|one| Listed { until: Time::NEVER, ..*one });
-        let gone = gone.iter().map(|one| Listed { until: one.until.min(now + FORGOTTEN), ..*one });
-        let mut all: Vec<Listed> = kept.chain(new).chain(gone).collect();
-        all.retain(|one| now < one.until);
-        all.sort_by_key(|one| one.address);
+        let kept = kept.iter().map(|gateway| ListedGateway { until: Time::NEVER, ..*gateway });
+        let gone = gone.iter().map(|gateway| ListedGateway {
+            until: gateway.until.min(now + UNLISTED_TIME),
+            ..*gateway
+        });
+        let mut all: Vec<ListedGateway> = kept.chain(new).chain(gone).collect();
+        all.retain(|gateway| now < gateway.until);
+        all.sort_by_key(|gateway| gateway.address);
         self.all = all;
     }
 
-    fn listed(&self, now: Time) -> impl Iterator<Item = &Listed> {
-        self.all.iter().filter(move |one| now < one.until)
+    fn listed(&self, now: Time) -> impl Iterator<Item = &ListedGateway> {
+        self.all.iter().filter(move |gateway| now < gateway.until)
     }
 
-    /// Whether there are too many for each to be told of all work.
+    /// Whether there are too many gateways to broadcast load updates, so that coordinators are
+    /// used.
     pub fn uses_coordinators(&self, now: Time) -> bool {
         self.listed(now).count() > MAX_BROADCAST_PEERS + 1
     }
 
-    /// All but this one.
+    /// All gateways but this one.
     pub fn others(&self, now: Time) -> Vec<SocketAddr> {
-        let addresses = self.listed(now).map(|one| one.address);
+        let addresses = self.listed(now).map(|gateway| gateway.address);
         addresses.filter(|address| !self.is_own(*address)).collect()
     }
 
-    /// Place of this gateway in an order that all find alike and that differs from subject to subject;
-    /// 0 is the first.
+    /// Rank of this gateway for a subject by rendezvous hashing; 0 is the first.
     pub fn rank(&self, subject: &str, now: Time) -> usize {
         let subject = ReplicaId::from_name(subject).0;
-        let Some(own) = self.all.iter().find(|one| self.is_own(one.address)) else { return 0 };
+        let Some(own) = self.all.iter().find(|gateway| self.is_own(gateway.address)) else {
+            return 0;
+        };
         let own = rendezvous_weight(subject, own.id);
         self.listed(now).filter(|other| rendezvous_weight(subject, other.id) > own).count()
     }
 
-    /// Coordinators of a service's shard, the first to be asked first; those that did not answer
-    /// lately are left out, and the next ones stand in for them.
+    /// Coordinators of a service's shard, in the order in which to ask them. Those that did not
+    /// respond lately are replaced by the next ones.
     pub fn coordinators(&self, service: &str, shard: Shard, now: Time) -> Vec<SocketAddr> {
         let key = shard.key(service);
-        let is_silent =
-            |address: &SocketAddr| self.silent_until.get(address).is_some_and(|until| now < *until);
-        let open = self.listed(now).filter(|one| !is_silent(&one.address));
-        let mut ranked: Vec<(u64, SocketAddr)> =
-            open.map(|one| (rendezvous_weight(key, one.id), one.address)).collect();
+        let is_unresponsive = |address: &SocketAddr| {
+            self.unresponsive_until.get(address).is_some_and(|until| now < *until)
+        };
+        let responsive = self.listed(now).filter(|gateway| !is_unresponsive(&gateway.address));
+        let mut ranked: Vec<(u64, SocketAddr)> = responsive
+            .map(|gateway| (rendezvous_weight(key, gateway.id), gateway.address))
+            .collect();
         let count = COORDINATORS.min(ranked.len());
         if count < ranked.len() {
             ranked.select_nth_unstable_by(count, |left, right| right.cmp(left));
@@ -173,24 +179,24 @@
         self.own == Some(address)
     }
 
-    /// Notes that a coordinator did not answer.
+    /// Records that a coordinator did not respond.
     pub fn on_timeout(&mut self, address: SocketAddr, now: Time) {
-        self.silent_until.retain(|_, until| now < *until);
-        self.silent_until.insert(address, now + SILENCE);
-        self.unanswered += 1;
-        if self.unanswered >= MOST_UNANSWERED {
-            self.alone_until = now + SILENCE;
+        self.unresponsive_until.retain(|_, until| now < *until);
+        self.unresponsive_until.insert(address, now + UNRESPONSIVE_TIME);
+        self.timeouts += 1;
+        if self.timeouts >= MAX_TIMEOUTS {
+            self.cut_off_until = now + UNRESPONSIVE_TIME;
         }
     }
 
-    /// Notes that a coordinator answered.
+    /// Records that a coordinator responded.
     pub fn on_response(&mut self) {
-        self.unanswered = 0;
-        self.alone_until = Time::ZERO;
+        self.timeouts = 0;
+        self.cut_off_until = Time::ZERO;
     }
 
-    /// Whether no coordinator seems to be in reach.
+    /// Whether this gateway seems to reach no coordinator.
     pub fn is_cut_off(&self, now: Time) -> bool {
-        now < self.alone_until
+        now < self.cut_off_until
     }
 }
--- a/crates/gateway/src/knowledge.rs
+++ b/crates/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What one gateway knows and for how long it may rely on it.
+//! What one gateway knows of the fleet, and for how long it may rely on it.
 
 mod limits;
 mod placement;
@@ -6,7 +6,9 @@
 
 pub use limits::LimitUpdate;
 
-use crate::balancer::{Balancer, Choice, ChoiceRequest, ReplicaChanges, SURELY_KEPT};
+use crate::balancer::{
+    Balancer, Choice, ChoiceRequest, DEFAULT_RELIABLE_CACHE_AGE, ReplicaChanges,
+};
 use crate::budget::{BudgetSettings, RetryBudget};
 use crate::catalog::{Catalog, Route, Tenant};
 use crate::connections::{ConnectionReuse, ConnectionSettings};
@@ -25,30 +27,30 @@
 use topazmount_routing::PolicyTable;
 use topazmount_types::{ErrorKind, RequestDigest, Time};
 
-/// Least time after which a refused client should come back.
-const SOON: Duration = Duration::from_millis(250);
-/// Longest time that a refused client is told to wait.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
-/// Time kept back of the bound on revoked keys, for a request on its way to a replica.
+/// Minimum retry delay of a refused client.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Maximum retry delay of a refused client.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Part of the bound on revoked keys that is reserved for a request on its way to a replica.
 const REVOCATION_MARGIN: Duration = Duration::from_millis(700);
 
-/// Bounds that a gateway keeps.
+/// Settings of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GatewaySettings {
-    /// Time after which a removed key is refused by every gateway, in touch or not; `None` where
-    /// gateways out of touch may serve on.
+    /// Time after which every gateway refuses a removed key, connected or not; `None` where
+    /// gateways without connection to the control group may keep serving.
     pub max_revocation_delay: Option<Duration>,
-    /// The fleet's retry budget.
+    /// Retry budget of the fleet.
     pub budget: BudgetSettings,
-    /// Kept connections to replicas.
+    /// Reuse of connections to replicas.
     pub connections: ConnectionSettings,
-    /// Age up to which a replica almost surely holds what it was seen to read or use.
+    /// Age up to which a cache record is relied on.
     pub reliable_cache_age: Duration,
     /// How far tenants' limits may be exceeded.
     pub quota: QuotaSettings,
-    /// How long what replicas ask is believed.
+    /// How long pushback of replicas is honored.
     pub pushback: PushbackSettings,
-    /// Bounds of a roll-out of weights.
+    /// Limits of a roll-out of weights.
     pub rollout: RolloutSettings,
 }
 
@@ -58,7 +60,7 @@
             max_revocation_delay: Some(Duration::from_secs(5)),
             budget: BudgetSettings::default(),
             connections: ConnectionSettings::default(),
-            reliable_cache_age: SURELY_KEPT,
+            reliable_cache_age: DEFAULT_RELIABLE_CACHE_AGE,
             quota: QuotaSettings::default(),
             pushback: PushbackSettings::default(),
             rollout: RolloutSettings::default(),
@@ -66,37 +68,37 @@
     }
 }
 
-/// A request that may be served.
+/// A request that was admitted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Admission {
-    /// Its route.
+    /// Route of the request.
     pub route: Route,
-    /// The tenant that holds its key, where keys are needed.
+    /// The tenant that owns the key, where keys are required.
     pub tenant: Option<Tenant>,
-    /// Service that it goes to.
+    /// Service that the request goes to.
     pub service: String,
-    /// Catalog version by which it was admitted.
+    /// Version of the catalog that admitted it.
     pub version: u64,
 }
 
-/// A gateway's knowledge. Invariants: the catalog's version only rises; a keyed request is
-/// admitted only while word of a member that could vouch for the newest catalog is younger than
-/// the bound on revoked keys.
+/// State of a gateway. Invariants: the catalog's version only rises; a request with a key is
+/// admitted only while the last response that confirmed the newest catalog is younger than the
+/// bound on revoked keys.
 pub struct GatewayState {
     settings: GatewaySettings,
     catalog: Option<Arc<Catalog>>,
     seen: Seen,
-    /// Whether it has heard only of a part of the replicas that a member knows.
+    /// Whether only a part of the replica list has been received.
     is_behind: bool,
     confirmed_until: Time,
-    /// When a request first met it unconfirmed, since it was confirmed last.
+    /// When a request first arrived unconfirmed, since the last confirmation.
     unconfirmed_since: Option<Time>,
     gateway_count: usize,
     gateways: GatewayList,
-    /// Where the gateways of the leader's list take datagrams, by their addresses for clients.
-    named: BTreeMap<String, SocketAddr>,
-    /// Port at which all gateways take datagrams of others.
-    own_port: u16,
+    /// Datagram addresses of the gateways in the leader's list, by their client addresses.
+    peer_addresses: BTreeMap<String, SocketAddr>,
+    /// Port at which all gateways receive datagrams.
+    datagram_port: u16,
     balancer: Balancer,
     splits: Splits,
     rng: ChaCha8Rng,
@@ -105,14 +107,15 @@
     crashes: CrashTracker,
     quotas: Quotas,
     policies: PolicyTable,
-    /// Where gateways take datagrams that were named since the last look.
-    newcomers: Vec<SocketAddr>,
+    /// Datagram addresses of gateways that were listed since the last call of
+    /// `limit_updates_for_new_gateways`.
+    new_peers: Vec<SocketAddr>,
 }
 
 impl GatewayState {
-    /// A gateway in a zone that knows nothing yet.
+    /// Creates the state of a gateway in a zone, without catalog and replicas.
     pub fn new(zone: &str, settings: GatewaySettings, seed: u64) -> Self {
-        let mut knowledge = GatewayState {
+        let mut state = GatewayState {
             settings,
             catalog: None,
             seen: Seen::default(),
@@ -121,8 +124,8 @@
             unconfirmed_since: None,
             gateway_count: 0,
             gateways: GatewayList::default(),
-            named: BTreeMap::new(),
-            own_port: 0,
+            peer_addresses: BTreeMap::new(),
+            datagram_port: 0,
             balancer: Balancer::new(zone, seed),
             splits: Splits::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -131,13 +134,13 @@
             crashes: CrashTracker::default(),
             quotas: Quotas::default(),
             policies: PolicyTable::default(),
-            newcomers: Vec::new(),
+            new_peers: Vec::new(),
         };
-        knowledge.set_settings(settings);
-        knowledge
+        state.set_settings(settings);
+        state
     }
 
-    /// Bounds that it keeps.
+    /// Current settings.
     pub fn settings(&self) -> &GatewaySettings {
         &self.settings
     }
@@ -147,38 +150,38 @@
         self.settings = settings;
         self.connections.set_settings(settings.connections);
         self.balancer.set_reliable_cache_age(settings.reliable_cache_age);
-        self.quotas.set(settings.quota);
+        self.quotas.set_settings(settings.quota);
         self.balancer.set_pushback_settings(settings.pushback);
         self.balancer.set_rollout_settings(settings.rollout);
     }
 
-    /// What it has seen, for the next request for news.
+    /// Versions of the data already applied, for the next request to the control group.
     pub fn seen_versions(&self) -> Seen {
         self.seen
     }
 
-    /// The catalog in force here.
+    /// The current catalog.
     pub fn catalog(&self) -> Option<&Arc<Catalog>> {
         self.catalog.as_ref()
     }
 
-    /// Replicas and their choice.
+    /// Records of replicas, and the choice among them.
     pub fn balancer(&mut self) -> &mut Balancer {
         &mut self.balancer
     }
 
-    /// Decides on kept connections to replicas.
+    /// Decides on the reuse of connections to replicas.
     pub fn connections(&mut self) -> &mut ConnectionReuse {
         &mut self.connections
     }
 
-    /// Requests under which replicas crash.
+    /// Tracks requests that crash replicas.
     pub fn crashes(&mut self) -> &mut CrashTracker {
         &mut self.crashes
     }
 
-    /// Takes the list of requests that must not be sent on, if a view has a newer one. Returns those that
-    /// are new in it, and those that are gone from it.
+    /// Applies the list of blocked requests if a view has a newer one. Returns the added and the
+    /// removed requests.
     pub fn apply_blocked(
         &mut self,
         view: &FleetView,
@@ -196,25 +199,25 @@
         }
     }
 
-    /// Connections at rest that this gateway may keep to one replica of a service: half of those
-    /// that the replica takes, shared by all gateways.
+    /// Maximum number of idle connections that this gateway keeps to one replica: its share of half
+    /// of those that the replica accepts.
     pub fn max_pooled_connections(&self, service: &str) -> usize {
         let service = self.catalog.as_ref().and_then(|catalog| catalog.service(service));
-        let most = service.map_or(0, |service| service.max_connections as usize);
-        (most / 2 / self.gateway_count.max(1)).max(1)
+        let max_connections = service.map_or(0, |service| service.max_connections as usize);
+        (max_connections / 2 / self.gateway_count.max(1)).max(1)
     }
 
-    /// Policies in force.
+    /// Current routing policies.
     pub fn policies(&mut self) -> &mut PolicyTable {
         &mut self.policies
     }
 
-    /// Whether the policy that decides on a request lets it run.
+    /// Whether the routing policy admits the request.
     pub fn is_admitted_by_policy(&mut self, request: &ChoiceRequest<'_>) -> bool {
         self.balancer.admits(request, &mut self.policies)
     }
 
-    /// Notes the first token of a request, `waited` after it was sent.
+    /// Records the first token of a request, `waited` after it was sent.
     pub fn on_first_token(
         &mut self,
         choice: &Choice,
@@ -225,18 +228,19 @@
         self.balancer.on_first_token(choice, request, waited, now);
         self.policies.first_token(choice.policy, waited.as_secs_f64() * 1_000.0);
         if let Some(prompt) = request.prompt {
-            let found = prompt.prompt_tokens.saturating_sub(choice.expected_prefill);
-            self.policies.ended(choice.policy, prompt.prompt_tokens, found);
+            let cached = prompt.prompt_tokens.saturating_sub(choice.expected_prefill);
+            self.policies.ended(choice.policy, prompt.prompt_tokens, cached);
         }
     }
 
-    /// Whether what it knows is confirmed now.
+    /// Whether the catalog is currently confirmed.
     pub fn is_confirmed(&self, now: Time) -> bool {
         self.catalog.is_some() && now < self.confirmed_until
     }
 
-    /// Takes news that was asked for at `asked_at`. `catalog` is the view's document as read by
-    /// the dialect, if the view has one that can be read. Returns which beliefs on replicas it took back.
+    /// Applies a view that was requested at `asked_at`. `catalog` is the view's document as decoded
+    /// by the dialect, if there is a readable one. Returns changes that invalidate records of
+    /// replicas.
     pub fn apply(
         &mut self,
         view: &FleetView,
@@ -260,10 +264,10 @@
             self.seen.statuses = *count;
             changes.extend(statuses.iter().flat_map(|status| self.balancer.set_status(status)));
         }
-        // A leader without a lease may have been deposed: its list must move no grants, and is told again.
-        if let Some(news) = view.gateways.as_ref().filter(|_| view.is_leased()) {
-            self.seen.gateways = news.count;
-            self.set_gateways(news, asked_at);
+        // A leader without a lease may have been deposed, so its list must not move grants.
+        if let Some(update) = view.gateways.as_ref().filter(|_| view.is_leased()) {
+            self.seen.gateways = update.count;
+            self.set_gateways(update, asked_at);
         }
         if view.gateway_count > 0 {
             self.gateway_count = view.gateway_count as usize;
@@ -279,11 +283,12 @@
         changes
     }
 
-    /// Decides whether a request may be served, and where it belongs.
+    /// Decides whether a request is admitted, and which service it goes to.
     ///
     /// # Errors
-    /// The kind of refusal. Where the gateway can't be sure of the newest catalog it does not say
-    /// that a route or key does not exist.
+    ///
+    /// The reason of the refusal. While the catalog is unconfirmed, an unknown route or key is
+    /// reported as a missing configuration.
     pub fn admit(
         &mut self,
         host: &str,
@@ -315,40 +320,40 @@
         })
     }
 
-    /// When a client that is refused with a kind may come back. How long a gateway will still lack a
-    /// confirmed catalog is best guessed by how long it has lacked one already.
+    /// Retry delay for a client that was refused. An outage of the catalog is expected to last as
+    /// long again as it has lasted.
     pub fn retry_after(&mut self, kind: ErrorKind, now: Time) -> Duration {
         if kind != ErrorKind::NoConfiguration {
-            return SOON;
+            return MIN_RETRY_DELAY;
         }
         let since = *self.unconfirmed_since.get_or_insert(now);
-        (SOON + now.since(since)).min(LONGEST_WAIT)
+        (MIN_RETRY_DELAY + now.since(since)).min(MAX_RETRY_DELAY)
     }
 
-    /// When a client whose request no replica may be sent should come back: when the first one has rested, spread over
-    /// half of that time more so that they don't come at one moment; `None` where none rests.
+    /// Retry delay for a client whose request no replica accepts now: until the first one is
+    /// available again, plus up to half of that at random; `None` if no replica will be.
     pub fn retry_after_pushback(
         &mut self,
         request: &ChoiceRequest<'_>,
         now: Time,
     ) -> Option<Duration> {
-        let rest = self.balancer.time_until_available(request, now)?;
-        let spread = (rest / 2).max(SOON).mul_f64(self.rng.random_range(0.0..1.0));
-        Some(rest + spread)
+        let backoff = self.balancer.time_until_available(request, now)?;
+        let spread = (backoff / 2).max(MIN_RETRY_DELAY).mul_f64(self.rng.random_range(0.0..1.0));
+        Some(backoff + spread)
     }
 
-    /// Chooses a replica.
+    /// Chooses a replica of the whole service.
     pub fn choose(&mut self, request: &ChoiceRequest<'_>, now: Time) -> Option<Choice> {
         self.choose_in_shard(request, None, now)
     }
 
-    /// Counts a request for a service.
+    /// Counts a request in the retry budget of its service.
     pub fn record_request(&mut self, service: &str, now: Time) {
         let budget = self.budgets.entry(service.to_owned()).or_default();
         budget.record_request(now, &self.settings.budget);
     }
 
-    /// Asks the budget of a service for one repeat.
+    /// Takes one retry from the budget of a service, if there is one left.
     pub fn try_retry(&mut self, service: &str, now: Time) -> bool {
         let nodes = self.gateway_count;
         let budget = self.budgets.entry(service.to_owned()).or_default();
--- a/crates/gateway/src/knowledge/placement.rs
+++ b/crates/gateway/src/state/placement.rs
@@ -1,8 +1,9 @@
-//! Where gateways are many: who is asked about a prompt, who is told of it, and who follows which store.
+//! Placement in a fleet with coordinators: which gateways are asked about a prompt, receive updates
+//! and follow a store.
 
 use super::GatewayState;
 use crate::balancer::{Choice, ChoiceRequest, LoadUpdate, PromptEvent};
-use crate::question::{PlacementOffer, PlacementRequest};
+use crate::placement_request::{PlacementOffer, PlacementRequest};
 use crate::shards::{GatewayList, Shard};
 use crate::stores::MAX_STORE_READERS;
 use std::net::SocketAddr;
@@ -22,79 +23,79 @@
         Some(choice)
     }
 
-    /// Shards whose coordinators are asked where a prompt should go, in order; none where this gateway
-    /// decides by itself.
+    /// Shards whose coordinators are asked for a placement, in order; empty if this gateway decides
+    /// alone.
     pub fn shards_for(&mut self, request: &ChoiceRequest<'_>, now: Time) -> Vec<Shard> {
         let may_ask = request.engine.is_some() && !self.gateways.is_cut_off(now);
         if may_ask { self.balancer.shards_for(request) } else { Vec::new() }
     }
 
-    /// The gateways, and who of them coordinates what.
+    /// The list of gateways, and which of them coordinate which shards.
     pub fn gateways(&mut self) -> &mut GatewayList {
         &mut self.gateways
     }
 
-    /// Sets the address at which this gateway takes datagrams of others. All use the same port.
+    /// Sets the address at which this gateway receives datagrams. All gateways use the same port.
     pub fn set_own_address(&mut self, own: SocketAddr) {
-        self.own_port = own.port();
+        self.datagram_port = own.port();
         self.gateways.set_own(own);
         self.quotas.set_own(own);
     }
 
-    pub(super) fn set_gateways(&mut self, news: &GatewayNews, now: Time) {
-        if news.is_full {
-            self.named.clear();
+    pub(super) fn set_gateways(&mut self, update: &GatewayNews, now: Time) {
+        if update.is_full {
+            self.peer_addresses.clear();
         }
-        for address in &news.removed {
-            self.named.remove(address);
+        for address in &update.removed {
+            self.peer_addresses.remove(address);
         }
-        for report in &news.changed {
+        for report in &update.changed {
             if let Ok(address) = report.address.parse::<SocketAddr>() {
-                let peer = SocketAddr::new(address.ip(), self.own_port);
-                self.named.insert(report.address.clone(), peer);
-                // One that has started again changes whether it is ready.
+                let peer = SocketAddr::new(address.ip(), self.datagram_port);
+                self.peer_addresses.insert(report.address.clone(), peer);
+                // A restarted gateway is listed as changed, too.
                 if !self.gateways.is_own(peer) {
-                    self.newcomers.push(peer);
+                    self.new_peers.push(peer);
                 }
             }
         }
-        self.gateways.set(self.named.values().copied(), now);
+        self.gateways.set(self.peer_addresses.values().copied(), now);
         self.balancer.set_coordinated(self.gateways.uses_coordinators(now));
     }
 
-    /// The question for a request to the coordinator of a shard; `None` where it has no prompt.
+    /// The placement request to the coordinator of a shard; `None` for a request without prompt.
     pub fn placement_request(
         &self,
         request: &ChoiceRequest<'_>,
         shard: Shard,
         now: Time,
     ) -> Option<PlacementRequest> {
-        let unwilling = self.balancer.unwilling(request.service, shard, now);
-        PlacementRequest::new(request, shard, &unwilling)
+        let unavailable = self.balancer.unavailable_replicas(request.service, shard, now);
+        PlacementRequest::new(request, shard, &unavailable)
     }
 
-    /// Answers another gateway's question about a shard that this one coordinates; `None` where it
-    /// knows no replica that may be asked.
-    pub fn place(&mut self, question: &PlacementRequest, now: Time) -> Option<PlacementOffer> {
+    /// Chooses a replica for another gateway, in a shard that this one coordinates; `None` if none
+    /// is available.
+    pub fn place(&mut self, placement: &PlacementRequest, now: Time) -> Option<PlacementOffer> {
         let catalog = self.catalog.clone()?;
-        let prompt = question.prompt();
-        let exclude = self.balancer.names_of(&question.skipped);
+        let prompt = placement.prompt();
+        let skipped = self.balancer.names_of(&placement.skipped);
         let request = ChoiceRequest {
-            service: &question.service,
-            tenant: question.tenant,
+            service: &placement.service,
+            tenant: placement.tenant,
             prompt: Some(&prompt),
-            model: question.model.as_deref(),
-            namespace: question.namespace,
-            isolated_tenant: question.isolated_tenant.as_deref(),
-            tried: &exclude,
+            model: placement.model.as_deref(),
+            namespace: placement.namespace,
+            isolated_tenant: placement.isolated_tenant.as_deref(),
+            tried: &skipped,
             pinned_to: None,
-            engine: catalog.service(&question.service)?.engine.as_ref(),
+            engine: catalog.service(&placement.service)?.engine.as_ref(),
         };
-        let choice = self.choose_in_shard(&request, Some(question.shard), now)?;
+        let choice = self.choose_in_shard(&request, Some(placement.shard), now)?;
         self.balancer.offer(&choice)
     }
 
-    /// The choice that a coordinator's offer makes, if this gateway may follow it.
+    /// Turns a coordinator's offer into a choice, if this gateway may use that replica.
     pub fn accept_offer(
         &self,
         offer: &PlacementOffer,
@@ -104,12 +105,12 @@
         self.balancer.accept_offer(offer, request, now)
     }
 
-    /// Whether a prompt is better asked for at a further shard.
+    /// Whether the prompt should be tried at a further shard.
     pub fn is_overloaded(&self, choice: &Choice, request: &ChoiceRequest<'_>) -> bool {
         self.balancer.is_overloaded(choice, request)
     }
 
-    /// What others should know of a prompt at its choice, and who, if there is anything to tell.
+    /// The load update about a prompt at its choice, with its recipients, if one is to be sent.
     pub fn load_update(
         &self,
         choice: &Choice,
@@ -117,32 +118,32 @@
         event: PromptEvent,
         now: Time,
     ) -> Option<(Vec<SocketAddr>, LoadUpdate)> {
-        let news = self.balancer.load_update(choice, request, event)?;
-        Some((self.told_of(choice, now), news))
+        let update = self.balancer.load_update(choice, request, event)?;
+        Some((self.update_recipients(choice, now), update))
     }
 
-    /// The same after the prompt ended.
+    /// The load update after a prompt ended, with its recipients, if one is to be sent.
     pub fn end_update(
         &self,
         choice: &Choice,
         event: PromptEvent,
         now: Time,
     ) -> Option<(Vec<SocketAddr>, LoadUpdate)> {
-        let news = self.balancer.end_update(choice, event)?;
-        Some((self.told_of(choice, now), news))
+        let update = self.balancer.end_update(choice, event)?;
+        Some((self.update_recipients(choice, now), update))
     }
 
-    /// Who should be told of a prompt at its choice: the coordinators of that replica's shard, or all
-    /// other gateways where they are few.
-    fn told_of(&self, choice: &Choice, now: Time) -> Vec<SocketAddr> {
+    /// Recipients of load updates about a choice: the coordinators of its shard, or all other
+    /// gateways without coordinators.
+    fn update_recipients(&self, choice: &Choice, now: Time) -> Vec<SocketAddr> {
         let Some(shard) = self.balancer.shard_of(choice) else { return self.gateways.others(now) };
-        let mut told = self.gateways.coordinators(&choice.instance.service, shard, now);
-        told.retain(|address| !self.gateways.is_own(*address));
-        told
+        let mut recipients = self.gateways.coordinators(&choice.instance.service, shard, now);
+        recipients.retain(|address| !self.gateways.is_own(*address));
+        recipients
     }
 
-    /// Whether this gateway should follow the events of a store, which holds few calls at a time: some
-    /// of all gateways do, or the coordinators of the shards whose prompts it keeps.
+    /// Whether this gateway should follow the events of a store, which accepts few connections: a
+    /// limited number of gateways do, or the coordinators of the shards that save there.
     pub fn should_follow_store(&mut self, address: &str, now: Time) -> bool {
         if !self.gateways.uses_coordinators(now) {
             return self.gateways.rank(address, now) < MAX_STORE_READERS;
--- a/crates/gateway/src/knowledge/replicas.rs
+++ b/crates/gateway/src/state/replicas.rs
@@ -1,4 +1,4 @@
-//! The list of replicas as control tells it, and what each incarnation's end says of requests.
+//! Applies the control group's list of replicas.
 
 use super::GatewayState;
 use crate::balancer::ReplicaChanges;
@@ -7,8 +7,9 @@
 use topazmount_types::{Instance, InstanceId, Time, incarnation_name};
 
 impl GatewayState {
-    /// Takes from a view which replicas have ended without a word, before it is applied. Returns the replicas under which
-    /// requests had broken off: these are counted as crashes now.
+    /// Finds the replicas that ended unannounced according to a view, before the view is applied.
+    /// Requests whose connections broke there are counted as crashes. Returns these replicas and
+    /// the numbers of requests.
     pub fn confirm_crashes(&mut self, view: &FleetView, now: Time) -> Vec<(InstanceId, usize)> {
         if view.revision <= self.seen.revision {
             return Vec::new();
@@ -19,9 +20,9 @@
             ended.push((removed.id.clone(), name, removed.was_announced));
             ended.extend(self.ended_before(&removed.id, |known| known.start != removed.start));
         }
-        // The next incarnation under an identifier confirms that the one before it has ended.
-        for one in &view.instances {
-            ended.extend(self.ended_before(&one.id, |known| known.start != one.start));
+        // A new incarnation confirms that the previous one has ended.
+        for instance in &view.instances {
+            ended.extend(self.ended_before(&instance.id, |known| known.start != instance.start));
         }
         let mut confirmed = Vec::new();
         for (id, name, was_announced) in ended {
@@ -37,7 +38,7 @@
         confirmed
     }
 
-    /// The incarnation known under an identifier, if it has ended, and whether it had said that it leaves.
+    /// The recorded incarnation of a replica, if it has ended, and whether it was draining.
     fn ended_before(
         &self,
         id: &str,
@@ -47,14 +48,15 @@
         Some((known.id.clone(), known.incarnation_name(), known.is_draining))
     }
 
-    /// A list of replicas only moves forward: an older one of a member that lags is passed over.
+    /// Applies the list of replicas unless it is older than the known one, as from a member that
+    /// lags.
     pub(super) fn apply_instances(&mut self, view: &FleetView) -> ReplicaChanges {
         let mut changes = ReplicaChanges::new();
         if view.revision <= self.seen.revision {
             return changes;
         }
-        // Each piece of the leader's comes with the statuses of its replicas, a follower's without: after one of these the
-        // leader has to tell all statuses.
+        // A leader sends each part of the list with statuses, a follower without. After a
+        // follower's part all statuses must be requested again.
         if self.is_behind && view.statuses.is_none() {
             self.seen.statuses = Default::default();
         }
