--- a/crates/gateway/src/placement_request.rs
+++ b/crates/gateway/src/placement_request.rs
@@ -29,7 +29,7 @@
     #[serde(rename = "wall")]
     pub isolated_tenant: Option<String>,
     /// Hashes of the names of incarnations that must not be chosen.
-    #[serde(rename = "skipped")]
+    #[serde(rename = "exclude")]
     pub skipped: Vec<u64>,
 }
 
--- a/crates/gateway/src/plan.rs
+++ b/crates/gateway/src/plan.rs
@@ -90,10 +90,10 @@
 
 impl RequestPlan {
     /// Creates the plan of a request that may be sent to `attempts` replicas.
-    pub fn new(is_repeatable: bool, attempts: u32) -> Self {
+    pub fn new(is_retryable: bool, attempts: u32) -> Self {
         let attempts_left = attempts.max(1);
         RequestPlan {
-            is_retryable: is_repeatable,
+            is_retryable,
             attempts_left,
             may_have_run: false,
             has_reached_replica: false,
--- a/crates/gateway/tests/balancer.rs
+++ b/crates/gateway/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! Which replica a request goes to.
+//! Which replica a request is sent to.
 
 mod common;
 
@@ -34,16 +34,16 @@
     balancer
 }
 
-fn choose_for(balancer: &mut Balancer, prompt: &Prompt, exclude: &[String]) -> Option<Choice> {
+fn choose_for(balancer: &mut Balancer, prompt: &Prompt, tried: &[String]) -> Option<Choice> {
     let engine = engine();
-    let request = ChoiceRequest { tried: exclude, ..choice_request(prompt, Some(&engine)) };
+    let request = ChoiceRequest { tried, ..choice_request(prompt, Some(&engine)) };
     balancer.choose(&request, NOW, &mut PolicyTable::default())
 }
 
 #[test]
 fn nodes_agree_on_the_home_of_a_prompt() {
-    for subject in 0..50 {
-        let prompt = prompt(&[(1, 2_500), (100 + subject, 3_800), (1_000 + subject, 900)]);
+    for topic in 0..50 {
+        let prompt = prompt(&[(1, 2_500), (100 + topic, 3_800), (1_000 + topic, 900)]);
         let chosen: Vec<String> = (0..5)
             .map(|seed| choose_for(&mut pool(12, seed), &prompt, &[]).unwrap().instance.id)
             .collect();
@@ -52,11 +52,11 @@
 }
 
 #[test]
-fn prompts_that_share_their_first_part_meet_at_few_replicas() {
+fn prompts_with_the_same_first_part_use_few_replicas() {
     let mut balancer = pool(12, 1);
     let homes: std::collections::BTreeSet<String> = (0..200)
-        .map(|subject| {
-            let prompt = prompt(&[(1, 2_500), (100 + subject, 3_800), (1_000 + subject, 900)]);
+        .map(|topic| {
+            let prompt = prompt(&[(1, 2_500), (100 + topic, 3_800), (1_000 + topic, 900)]);
             choose_for(&mut balancer, &prompt, &[]).unwrap().instance.id
         })
         .collect();
@@ -64,29 +64,29 @@
 }
 
 #[test]
-fn a_request_that_leaves_its_home_names_a_source_with_the_same_weights() {
+fn a_request_away_from_its_home_has_a_source_with_the_same_weights() {
     let mut balancer = pool(12, 1);
     let prompt = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
     let home = choose_for(&mut balancer, &prompt, &[]).unwrap().instance.id;
     let other = choose_for(&mut balancer, &prompt, std::slice::from_ref(&home)).unwrap();
     assert!(other.source.is_some());
-    // All others have newer weights: what the home holds is of no use to them.
+    // All others have newer weights, so they can't use what the home has cached.
     for number in 0..12 {
         let id = format!("replica-{number}");
         if id != other.instance.id {
             balancer.set_status(&status(&id, Availability::Open, 2));
         }
     }
-    let exclude: Vec<String> = (0..12)
+    let tried: Vec<String> = (0..12)
         .map(|number| format!("replica-{number}"))
         .filter(|id| *id != other.instance.id)
         .collect();
-    let alone = choose_for(&mut balancer, &prompt, &exclude).unwrap();
+    let alone = choose_for(&mut balancer, &prompt, &tried).unwrap();
     assert_eq!((alone.version, alone.source), (Some(1), None));
 }
 
 #[test]
-fn barred_replicas_are_never_chosen_and_paused_ones_last() {
+fn excluded_replicas_are_never_chosen_and_paused_ones_last() {
     let mut balancer = pool(2, 1);
     let prompt = prompt(&[(1, 100), (2, 100)]);
     balancer.set_status(&status("replica-0", Availability::Paused, 1));
@@ -99,15 +99,15 @@
     assert!(!balancer.is_excluded(&waiting));
     balancer.set_status(&status("replica-0", Availability::Barred, 1));
     assert!(choose_for(&mut balancer, &prompt, &[]).is_none());
-    // What waits there is taken back.
+    // A request that waits there must be withdrawn.
     assert!(balancer.is_excluded(&waiting));
     balancer.set_status(&status("replica-0", Availability::Open, 2));
     assert!(!balancer.is_excluded(&waiting));
 }
 
-/// A replica that is passed over before a load still holds what it read.
+/// A replica that is paused before a load still has its cache.
 #[test]
-fn a_paused_replica_gives_what_it_holds() {
+fn a_paused_replica_is_a_source() {
     let mut balancer = pool(12, 1);
     let prompt = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
     let home = choose_for(&mut balancer, &prompt, &[]).unwrap();
@@ -120,18 +120,18 @@
 }
 
 #[test]
-fn prompts_that_nobody_holds_begin_on_the_newest_weights() {
-    for subject in 0..50 {
-        let mut balancer = pool(12, subject);
+fn uncached_prompts_start_on_the_newest_weights() {
+    for topic in 0..50 {
+        let mut balancer = pool(12, topic);
         balancer.set_status(&status("replica-7", Availability::Open, 2));
-        let prompt = prompt(&[(subject, 100), (1_000 + subject, 10)]);
+        let prompt = prompt(&[(topic, 100), (1_000 + topic, 10)]);
         assert_eq!(choose_for(&mut balancer, &prompt, &[]).unwrap().version, Some(2));
     }
 }
 
-/// A replica whose weights are newer than was believed takes the request again, and nobody else.
+/// A request with a version mismatch is retried at the same replica only.
 #[test]
-fn a_request_that_named_older_weights_goes_to_the_same_replica_again() {
+fn a_version_mismatch_is_retried_at_the_same_replica() {
     let mut balancer = pool(12, 1);
     let prompt = prompt(&[(1, 100), (2, 100)]);
     let first = choose_for(&mut balancer, &prompt, &[]).unwrap();
@@ -150,17 +150,17 @@
 }
 
 #[test]
-fn a_replica_of_unknown_weights_waits_for_its_status() {
+fn a_replica_of_unknown_version_is_not_chosen_before_its_status() {
     let mut balancer = pool(1, 1);
     balancer.upsert(instance("back-again", "pool", "north"));
-    for subject in 0..50 {
-        let prompt = prompt(&[(subject, 1_000), (1_000 + subject, 10)]);
+    for topic in 0..50 {
+        let prompt = prompt(&[(topic, 1_000), (1_000 + topic, 10)]);
         assert_eq!(choose_for(&mut balancer, &prompt, &[]).unwrap().instance.id, "replica-0");
     }
 }
 
 #[test]
-fn a_replica_that_failed_is_passed_over_for_a_while() {
+fn a_replica_that_failed_is_avoided_for_a_while() {
     let mut balancer = pool(2, 1);
     let prompt = prompt(&[(1, 100), (2, 100)]);
     let choice = choose_for(&mut balancer, &prompt, &[]).unwrap();
@@ -171,9 +171,9 @@
     assert_eq!(choose_for(&mut balancer, &prompt, &[]).unwrap().instance.id, home);
 }
 
-/// Whether a waiting request could go elsewhere is a question: it must not count as a decision.
+/// Checking whether another replica is available must not count as a routing decision.
 #[test]
-fn a_question_whether_there_is_a_choice_counts_nothing() {
+fn checking_for_an_available_replica_is_not_counted() {
     let mut balancer = pool(2, 1);
     let prompt = prompt(&[(1, 100), (2, 100)]);
     let mut policies = PolicyTable::default();
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn draining_and_removed_replicas_get_nothing() {
+fn draining_and_removed_replicas_get_no_requests() {
     let mut balancer = pool(2, 1);
     let prompt = prompt(&[(1, 100), (2, 100)]);
     let draining =
@@ -202,10 +202,9 @@
     choice_request(prompt, None)
 }
 
-/// What one node's requests wait for is known to the others, who send theirs elsewhere and have
-/// the memory moved there.
+/// Nodes know each other's load, and send requests to other replicas that fetch the cached parts.
 #[test]
-fn nodes_that_tell_each_other_share_the_work() {
+fn nodes_that_exchange_updates_balance_the_load() {
     let mut nodes = [pool(12, 1), pool(12, 2)];
     let prompt = prompt(&[(1, 2_500), (100, 3_800), (1_000, 9_000)]);
     let first = choose_for(&mut nodes[0], &prompt, &[]).unwrap();
@@ -214,50 +213,51 @@
     let read = nodes[0].load_update(&first, &request(&prompt), PromptEvent::Prefilled).unwrap();
     nodes[1].apply_load_update(&read, NOW);
     let second = choose_for(&mut nodes[1], &prompt, &[]).unwrap();
-    assert_eq!(second.instance.id, first.instance.id, "it holds the prompt and is idle");
-    // The first node sends much more there.
+    assert_eq!(second.instance.id, first.instance.id, "it has the prompt cached and is idle");
+    // The first node sends many more requests there.
     for _ in 0..5 {
         nodes[0].on_sent(&first, &request(&prompt), NOW);
     }
-    let busy = nodes[0].load_update(&first, &request(&prompt), PromptEvent::Sent).unwrap();
-    nodes[1].apply_load_update(&busy, NOW);
+    let load_update = nodes[0].load_update(&first, &request(&prompt), PromptEvent::Sent).unwrap();
+    nodes[1].apply_load_update(&load_update, NOW);
     let other = choose_for(&mut nodes[1], &prompt, &[]).unwrap();
-    assert_ne!(other.instance.id, first.instance.id, "others wait there");
-    assert!(other.source.is_some(), "what the first replica holds is moved");
+    assert_ne!(other.instance.id, first.instance.id, "other requests wait there");
+    assert!(other.source.is_some(), "the cached parts are fetched from the first replica");
     let later = NOW + Duration::from_secs(4);
     let back = nodes[1].choose(&request(&prompt), later, &mut PolicyTable::default()).unwrap();
-    assert_eq!(back.instance.id, first.instance.id, "old word on load counts nothing");
+    assert_eq!(back.instance.id, first.instance.id, "an old load update is ignored");
 }
 
 #[test]
-fn a_prompt_that_is_being_read_draws_its_like_to_the_same_replica() {
+fn similar_prompts_follow_a_pending_read() {
     let mut balancer = pool(12, 1);
-    let one = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
-    let first = choose_for(&mut balancer, &one, &[]).unwrap();
-    balancer.on_sent(&first, &request(&one), NOW);
-    let like = prompt(&[(1, 2_500), (100, 3_800), (1_001, 900)]);
-    assert_eq!(choose_for(&mut balancer, &like, &[]).unwrap().instance.id, first.instance.id);
+    let first_prompt = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
+    let first = choose_for(&mut balancer, &first_prompt, &[]).unwrap();
+    balancer.on_sent(&first, &request(&first_prompt), NOW);
+    let similar = prompt(&[(1, 2_500), (100, 3_800), (1_001, 900)]);
+    assert_eq!(choose_for(&mut balancer, &similar, &[]).unwrap().instance.id, first.instance.id);
 }
 
 #[test]
-fn word_of_unknown_replicas_and_of_other_weights_counts_nothing() {
+fn updates_about_unknown_replicas_and_other_versions_are_ignored() {
     let mut balancer = pool(2, 1);
-    let one = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
-    let choice = choose_for(&mut balancer, &one, &[]).unwrap();
-    let mut news = balancer.load_update(&choice, &request(&one), PromptEvent::Prefilled).unwrap();
-    news.version = 9;
-    balancer.apply_load_update(&news, NOW);
-    let exclude = std::slice::from_ref(&choice.instance.id);
-    let other = choose_for(&mut balancer, &one, exclude).unwrap();
-    assert!(other.expected_prefill > 2_500, "old memory is not counted on: {other:?}");
-    news.replica = 77;
-    balancer.apply_load_update(&news, NOW);
+    let first_prompt = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
+    let choice = choose_for(&mut balancer, &first_prompt, &[]).unwrap();
+    let mut update =
+        balancer.load_update(&choice, &request(&first_prompt), PromptEvent::Prefilled).unwrap();
+    update.version = 9;
+    balancer.apply_load_update(&update, NOW);
+    let tried = std::slice::from_ref(&choice.instance.id);
+    let other = choose_for(&mut balancer, &first_prompt, tried).unwrap();
+    assert!(other.expected_prefill > 2_500, "a cache of another version does not count: {other:?}");
+    update.replica = 77;
+    balancer.apply_load_update(&update, NOW);
 }
 
-/// Time to a first token beside reading, in milliseconds.
+/// Fixed part of the time to first token, in milliseconds.
 const FIXED_MS: f64 = 20.0;
 
-/// Serves a prompt at its choice, by an engine of this rate.
+/// Serves a prompt at its choice, with an engine of this rate.
 fn serve(balancer: &mut Balancer, prompt: &Prompt, tokens_per_ms: f64, at: Time) -> Choice {
     let choice = choose_for(balancer, prompt, &[]).unwrap();
     balancer.on_sent(&choice, &request(prompt), at);
@@ -268,9 +268,9 @@
     choice
 }
 
-/// Where a prompt goes whose subject one replica has just read, while another prompt waits there:
-/// engines that read fast are worth the wait, engines that read slowly are not.
-fn goes_where(tokens_per_ms: f64, waiting_tokens: u32, stays: bool) {
+/// Checks whether a prompt stays with the replica that has its prefix cached while another prompt
+/// waits there. Waiting is worthwhile at fast engines, but not at slow ones.
+fn check_placement(tokens_per_ms: f64, waiting_tokens: u32, expects_home: bool) {
     let mut balancer = pool(6, 1);
     let before = Time::from_secs(900);
     for number in 0..200 {
@@ -280,19 +280,23 @@
         serve(&mut balancer, &fresh, tokens_per_ms, before);
         serve(&mut balancer, &short, tokens_per_ms, before);
     }
-    let subject = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
-    let home = serve(&mut balancer, &subject, tokens_per_ms, NOW);
+    let topic = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
+    let home = serve(&mut balancer, &topic, tokens_per_ms, NOW);
     let waiting = prompt(&[(1, 2_500), (100, 3_800), (1_001, waiting_tokens)]);
     let there = choose_for(&mut balancer, &waiting, &[]).unwrap();
-    assert_eq!(there.instance.id, home.instance.id, "nothing waits yet");
+    assert_eq!(there.instance.id, home.instance.id, "no other prompt waits yet");
     balancer.on_sent(&there, &request(&waiting), NOW);
     let next = prompt(&[(1, 2_500), (100, 3_800), (1_002, 900)]);
     let choice = choose_for(&mut balancer, &next, &[]).unwrap();
     let rate = balancer.prefill_rate("pool");
-    assert_eq!(choice.instance.id == home.instance.id, stays, "{choice:?} at a rate of {rate}");
+    assert_eq!(
+        choice.instance.id == home.instance.id,
+        expects_home,
+        "{choice:?} at a rate of {rate}"
+    );
 }
 
-cases! { goes_where:
-    an_engine_four_times_faster_is_waited_for => 160.0, 6_000, true;
-    an_engine_four_times_slower_is_not => 10.0, 2_000, false;
+cases! { check_placement:
+    a_fast_engine_is_worth_the_wait => 160.0, 6_000, true;
+    a_slow_engine_is_not => 10.0, 2_000, false;
 }
--- a/crates/gateway/tests/catalog.rs
+++ b/crates/gateway/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! Which catalogs are valid, and which route and tenant a request has.
+//! Validation of catalogs, and the lookup of routes and tenants.
 
 mod common;
 
@@ -7,32 +7,34 @@
 use std::time::Duration;
 use topazmount_gateway::{Catalog, CatalogError, CatalogParts, SplitPart};
 
-fn broken(change: impl FnOnce(&mut CatalogParts)) -> CatalogError {
+fn error_after(change: impl FnOnce(&mut CatalogParts)) -> CatalogError {
     let mut parts = parts(1);
     change(&mut parts);
     Catalog::new(parts).unwrap_err()
 }
 
 #[test]
-fn every_fault_is_told() {
-    let unknown = broken(|parts| parts.routes.push(route("x", "h", "/x/", "nobody")));
+fn each_invalid_catalog_has_its_error() {
+    let unknown = error_after(|parts| parts.routes.push(route("x", "h", "/x/", "nobody")));
     assert!(matches!(unknown, CatalogError::UnknownService { .. }));
-    let same = broken(|parts| parts.routes.push(route("x", "SHOP.example", "/a/", "first")));
-    assert!(matches!(same, CatalogError::DuplicateRoute { .. }));
-    let weightless = broken(|parts| parts.routes[0].split[0].weight = 0);
-    assert_eq!(weightless, CatalogError::ZeroWeight("short".to_owned()));
-    let nowhere = broken(|parts| parts.routes[0].split.clear());
-    assert_eq!(nowhere, CatalogError::ZeroWeight("short".to_owned()));
-    let timeless = broken(|parts| parts.routes[1].timeout = Duration::ZERO);
-    assert_eq!(timeless, CatalogError::ZeroTimeout("long".to_owned()));
-    let twice = broken(|parts| parts.services.push(service("first")));
-    assert_eq!(twice, CatalogError::DuplicateService("first".to_owned()));
-    let shared = broken(|parts| parts.tenants.as_mut().unwrap().push(tenant("other", "key-1")));
+    let same_route =
+        error_after(|parts| parts.routes.push(route("x", "SHOP.example", "/a/", "first")));
+    assert!(matches!(same_route, CatalogError::DuplicateRoute { .. }));
+    let zero_weight = error_after(|parts| parts.routes[0].split[0].weight = 0);
+    assert_eq!(zero_weight, CatalogError::ZeroWeight("short".to_owned()));
+    let empty_split = error_after(|parts| parts.routes[0].split.clear());
+    assert_eq!(empty_split, CatalogError::ZeroWeight("short".to_owned()));
+    let zero_timeout = error_after(|parts| parts.routes[1].timeout = Duration::ZERO);
+    assert_eq!(zero_timeout, CatalogError::ZeroTimeout("long".to_owned()));
+    let same_name = error_after(|parts| parts.services.push(service("first")));
+    assert_eq!(same_name, CatalogError::DuplicateService("first".to_owned()));
+    let shared =
+        error_after(|parts| parts.tenants.as_mut().unwrap().push(tenant("other", "key-1")));
     assert!(matches!(shared, CatalogError::DuplicateKey(..)));
 }
 
 #[test]
-fn a_part_of_weight_zero_is_no_fault() {
+fn a_part_may_have_weight_zero() {
     let mut parts = parts(1);
     parts.routes[0].split.push(SplitPart { service: "second".to_owned(), weight: 0 });
     assert!(Catalog::new(parts).is_ok());
@@ -46,18 +48,14 @@
 #[case("shop.example", "/a", None)]
 #[case("shop.example", "/b/", None)]
 #[case("other.example", "/a/x", None)]
-fn the_longest_prefix_counts(
-    #[case] host: &str,
-    #[case] path: &str,
-    #[case] expected: Option<&str>,
-) {
+fn the_longest_prefix_wins(#[case] host: &str, #[case] path: &str, #[case] expected: Option<&str>) {
     let catalog = catalog(1);
     let found = catalog.route(host, path).map(|(_, route)| route.name.as_str());
     assert_eq!(found, expected);
 }
 
 #[test]
-fn keys_name_their_tenants() {
+fn keys_identify_their_tenants() {
     let catalog = catalog(1);
     assert_eq!(catalog.tenant("key-1").unwrap().name, "tenant-1");
     assert!(catalog.tenant("key-2").is_none());
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Catalogs and replicas for tests.
+//! Sample catalogs, replicas and prompts for tests.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -8,7 +8,7 @@
 };
 use topazmount_types::{Instance, Start};
 
-/// A route of a service.
+/// Creates a route to one service.
 pub fn route(name: &str, host: &str, prefix: &str, service: &str) -> Route {
     Route {
         name: name.to_owned(),
@@ -25,12 +25,12 @@
     }
 }
 
-/// A service without engines.
+/// Creates a service without engines.
 pub fn service(name: &str) -> Service {
     Service { name: name.to_owned(), max_connections: 100, engine: None, store: None }
 }
 
-/// Parameters of an engine.
+/// Sample engine parameters.
 pub fn engine() -> EngineParameters {
     EngineParameters {
         slots: 32,
@@ -41,7 +41,7 @@
     }
 }
 
-/// A question for a replica of `pool`.
+/// Creates a request for a replica of the service `pool`.
 pub fn choice_request<'a>(
     prompt: &'a Prompt,
     engine: Option<&'a EngineParameters>,
@@ -59,7 +59,7 @@
     }
 }
 
-/// A tenant with one key.
+/// Creates a tenant with one key.
 pub fn tenant(name: &str, key: &str) -> Tenant {
     Tenant {
         name: name.to_owned(),
@@ -70,7 +70,7 @@
     }
 }
 
-/// Parts of a valid catalog: two routes on one host, two services, one tenant.
+/// Parts of a valid catalog with two routes on one host, two services and one tenant.
 pub fn parts(version: u64) -> CatalogParts {
     CatalogParts {
         version,
@@ -84,12 +84,12 @@
     }
 }
 
-/// The catalog of [`parts`].
+/// Creates the catalog of [`parts`].
 pub fn catalog(version: u64) -> Catalog {
     Catalog::new(parts(version)).unwrap()
 }
 
-/// A registered replica.
+/// Creates a replica of a service in a zone.
 pub fn instance(id: &str, service: &str, zone: &str) -> Instance {
     Instance {
         id: id.to_owned(),
@@ -103,7 +103,7 @@
     }
 }
 
-/// A prompt of these parts.
+/// Creates a prompt from the identifiers and lengths of its parts.
 pub fn prompt(parts: &[(u64, u32)]) -> Prompt {
     let parts: Vec<PromptPart> =
         parts.iter().map(|(id, tokens)| PromptPart { id: *id, tokens: *tokens }).collect();
@@ -111,7 +111,7 @@
     Prompt { parts, prompt_tokens, output_tokens: 10 }
 }
 
-/// Makes a test of each named case: `cases! { check: name => argument, argument; ... }`.
+/// Defines a test for each named case: `cases! { check: name => argument, argument; ... }`.
 #[macro_export]
 macro_rules! cases {
     ($check:ident: $($name:ident => $($argument:expr),+;)+) => {
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Table of kept connections: what may be kept, and what may be sent on it.
+//! Which connections are pooled, and which requests may reuse them.
 
 use rstest::rstest;
 use std::time::Duration;
@@ -16,55 +16,61 @@
     }
 }
 
-/// A test for each way in which an answer leaves its connection.
-macro_rules! kept_after {
-    ($($name:ident: $end:expr => $is_kept:expr;)*) => {$(
+/// Defines a test for each state in which a response leaves its connection.
+macro_rules! pooled_after {
+    ($($name:ident: $end:expr => $is_pooled:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(ConnectionReuse::default().may_pool($end), $is_kept);
+            assert_eq!(ConnectionReuse::default().may_pool($end), $is_pooled);
         }
     )*};
 }
 
-kept_after! {
-    a_whole_answer_leaves_a_good_connection: GOOD => true;
-    a_body_that_is_still_due_does_not: ResponseEnd { is_request_sent: false, ..GOOD } => false;
-    an_answer_without_a_length_does_not: ResponseEnd { is_framed: false, ..GOOD } => false;
-    a_replica_that_drains_does_not: ResponseEnd { closes: true, ..GOOD } => false;
-    bytes_after_the_answer_do_not: ResponseEnd { has_extra_bytes: true, ..GOOD } => false;
+pooled_after! {
+    a_complete_response_allows_reuse: GOOD => true;
+    an_incomplete_request_does_not: ResponseEnd { is_request_sent: false, ..GOOD } => false;
+    a_response_without_framing_does_not: ResponseEnd { is_framed: false, ..GOOD } => false;
+    a_closing_replica_does_not: ResponseEnd { closes: true, ..GOOD } => false;
+    extra_bytes_do_not: ResponseEnd { has_extra_bytes: true, ..GOOD } => false;
 }
 
 #[rstest]
-#[case("in use a moment ago, at most once", idle(200, None), false, true)]
-#[case("at rest for long, at most once", idle(1_500, None), false, false)]
-#[case("at rest for long, repeatable", idle(1_500, None), true, true)]
-#[case("at rest for too long", idle(9_000, None), true, false)]
-#[case("well before the announced end", idle(1_000, Some(2)), true, true)]
-#[case("near the announced end", idle(1_500, Some(2)), true, false)]
-#[case("an announced end of nothing", idle(0, Some(0)), true, false)]
-fn a_request_may_be_sent(
+#[case("recently used, at most once", idle(200, None), false, true)]
+#[case("idle for long, at most once", idle(1_500, None), false, false)]
+#[case("idle for long, retryable", idle(1_500, None), true, true)]
+#[case("idle for too long", idle(9_000, None), true, false)]
+#[case("well before the announced timeout", idle(1_000, Some(2)), true, true)]
+#[case("near the announced timeout", idle(1_500, Some(2)), true, false)]
+#[case("an announced timeout of zero", idle(0, Some(0)), true, false)]
+fn idle_connections_are_reused_within_their_limits(
     #[case] name: &str,
     #[case] connection: IdleConnection,
-    #[case] is_repeatable: bool,
+    #[case] is_retryable: bool,
     #[case] expected: bool,
 ) {
     let connections = ConnectionReuse::default();
-    assert_eq!(connections.may_reuse("pool", connection, is_repeatable, NOW), expected, "{name}");
+    assert_eq!(connections.may_reuse("pool", connection, is_retryable, NOW), expected, "{name}");
 }
 
 #[test]
-fn what_replicas_forget_early_is_learned_for_their_service_and_unlearned() {
+fn a_stale_connection_lowers_the_limit_of_its_service_for_a_while() {
     let mut connections = ConnectionReuse::default();
     connections.on_stale_connection("pool", Duration::from_secs(3), NOW);
-    assert!(!connections.may_reuse("pool", idle(2_000, None), true, NOW), "forgotten at three");
-    assert!(connections.may_reuse("pool", idle(1_000, None), true, NOW), "well below it");
-    assert!(connections.may_reuse("other", idle(2_000, None), true, NOW), "another service");
+    assert!(
+        !connections.may_reuse("pool", idle(2_000, None), true, NOW),
+        "over half of the stale idle time"
+    );
+    assert!(connections.may_reuse("pool", idle(1_000, None), true, NOW), "below half of it");
+    assert!(
+        connections.may_reuse("other", idle(2_000, None), true, NOW),
+        "another service is not affected"
+    );
     let later = NOW + Duration::from_secs(20);
-    assert!(connections.may_reuse("pool", idle(2_000, None), true, later), "not for ever");
+    assert!(connections.may_reuse("pool", idle(2_000, None), true, later), "the limit recovers");
 }
 
 #[test]
-fn a_second_forgetting_at_a_shorter_time_is_believed_too() {
+fn a_second_stale_connection_lowers_the_limit_further() {
     let mut connections = ConnectionReuse::default();
     connections.on_stale_connection("pool", Duration::from_secs(6), NOW);
     connections.on_stale_connection("pool", Duration::from_secs(2), NOW);
@@ -72,7 +78,7 @@
 }
 
 #[test]
-fn nothing_is_kept_where_settings_say_so() {
+fn nothing_is_pooled_or_reused_when_disabled() {
     let mut connections = ConnectionReuse::default();
     connections
         .set_settings(ConnectionSettings { is_enabled: false, ..ConnectionSettings::default() });
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! What one gateway keeps, tells and believes of requests under which replicas crash.
+//! What one gateway records and reports of requests that crash replicas.
 
 mod common;
 
@@ -16,36 +16,37 @@
     vec![BlockedRequest { request: REQUEST, evidence }]
 }
 
-fn after(seconds: u32) -> Time {
+fn after_seconds(seconds: u32) -> Time {
     START + SECOND * seconds
 }
 
-/// Without a word from control; with one that one counts, since it may know of a request that was beside this one.
+/// Own crashes only count while the control group is unreachable, as it may know of another request
+/// that ran at the same replica.
 #[test]
-fn three_crashes_seen_here_block_here_while_control_is_silent() {
+fn three_own_crashes_block_while_control_is_unreachable() {
     let mut crashes = CrashTracker::default();
     for number in 0..3 {
-        assert!(!crashes.is_blocked(REQUEST, after(number)));
-        crashes.record_crash(REQUEST, &format!("i-{number}"), RUN, after(number));
+        assert!(!crashes.is_blocked(REQUEST, after_seconds(number)));
+        crashes.record_crash(REQUEST, &format!("i-{number}"), RUN, after_seconds(number));
     }
-    assert!(crashes.is_blocked(REQUEST, after(3)));
-    crashes.record_control_contact(after(3));
-    assert!(!crashes.is_blocked(REQUEST, after(4)));
-    assert!(crashes.is_blocked(REQUEST, after(5)));
+    assert!(crashes.is_blocked(REQUEST, after_seconds(3)));
+    crashes.record_control_contact(after_seconds(3));
+    assert!(!crashes.is_blocked(REQUEST, after_seconds(4)));
+    assert!(crashes.is_blocked(REQUEST, after_seconds(5)));
 }
 
 #[test]
-fn a_crash_is_told_with_its_age_until_it_is_old() {
+fn a_crash_is_reported_with_its_age_until_it_expires() {
     let mut crashes = CrashTracker::default();
     crashes.record_crash(REQUEST, "i-0", RUN, START);
-    let notes = crashes.notes(after(3));
+    let notes = crashes.notes(after_seconds(3));
     assert_eq!((notes.crashes[0].age, notes.crashes[0].ran_for), (SECOND * 3, RUN));
-    assert!(!crashes.notes(after(30)).is_empty());
-    assert!(crashes.notes(after(31)).is_empty());
+    assert!(!crashes.notes(after_seconds(30)).is_empty());
+    assert!(crashes.notes(after_seconds(31)).is_empty());
 }
 
 #[test]
-fn what_is_told_at_a_time_is_bounded() {
+fn the_size_of_a_report_is_limited() {
     let mut crashes = CrashTracker::default();
     for number in 0..500 {
         crashes.record_crash(RequestDigest(number), "i-0", RUN, START);
@@ -53,39 +54,40 @@
     assert_eq!(crashes.notes(START).crashes.len(), 64);
 }
 
-/// Control hears at once that a suspected request ran well, and of no other one.
+/// The completion of a suspected request is reported, that of another one is not.
 #[test]
-fn a_suspected_request_that_ran_well_is_told() {
+fn the_completion_of_a_suspected_request_is_reported() {
     let mut crashes = CrashTracker::default();
     assert!(!crashes.record_completion(REQUEST, START));
-    crashes.record_crash(REQUEST, "i-0", RUN, after(1));
-    assert!(crashes.record_completion(REQUEST, after(2)));
-    let notes = crashes.notes(after(2));
+    crashes.record_crash(REQUEST, "i-0", RUN, after_seconds(1));
+    assert!(crashes.record_completion(REQUEST, after_seconds(2)));
+    let notes = crashes.notes(after_seconds(2));
     assert!(notes.crashes.is_empty());
     assert_eq!(notes.completed, [REQUEST]);
-    assert!(!crashes.record_completion(REQUEST, after(3)));
+    assert!(!crashes.record_completion(REQUEST, after_seconds(3)));
 }
 
-/// Another gateway's clients send the same, and it ran well here between the crashes.
+/// The same request may have crashed replicas through other gateways, and completed here in
+/// between.
 #[test]
-fn a_blocked_request_that_ran_well_since_the_first_crash_is_spoken_for() {
+fn a_completion_since_the_first_crash_is_reported_for_a_blocked_request() {
     let mut crashes = CrashTracker::default();
-    crashes.record_completion(REQUEST, after(8));
-    crashes.set_blocked(&blocked(SECOND * 4), after(10));
-    assert_eq!(crashes.notes(after(10)).completed, [REQUEST]);
+    crashes.record_completion(REQUEST, after_seconds(8));
+    crashes.set_blocked(&blocked(SECOND * 4), after_seconds(10));
+    assert_eq!(crashes.notes(after_seconds(10)).completed, [REQUEST]);
 }
 
-/// New weights may have made it fatal.
+/// It may crash since new weights were loaded.
 #[test]
-fn one_that_ran_well_before_the_first_crash_is_not() {
+fn a_completion_before_the_first_crash_is_not_reported() {
     let mut crashes = CrashTracker::default();
-    crashes.record_completion(REQUEST, after(5));
-    crashes.set_blocked(&blocked(SECOND * 4), after(10));
-    assert!(crashes.notes(after(10)).is_empty());
+    crashes.record_completion(REQUEST, after_seconds(5));
+    crashes.set_blocked(&blocked(SECOND * 4), after_seconds(10));
+    assert!(crashes.notes(after_seconds(10)).is_empty());
 }
 
 #[test]
-fn a_list_says_what_is_new_and_what_is_let_go() {
+fn added_and_removed_requests_are_returned() {
     let mut crashes = CrashTracker::default();
     assert_eq!(crashes.set_blocked(&blocked(SECOND), START), (vec![REQUEST], vec![]));
     assert_eq!(crashes.set_blocked(&blocked(SECOND), START), (vec![], vec![]));
@@ -94,19 +96,19 @@
     assert!(!crashes.is_blocked(REQUEST, START));
 }
 
-/// A member that lags is asked after a newer one.
+/// The second view comes from a member that lags.
 #[test]
-fn an_older_list_is_passed_over() {
-    let mut knowledge = GatewayState::new("north", GatewaySettings::default(), 1);
+fn an_older_list_is_ignored() {
+    let mut state = GatewayState::new("north", GatewaySettings::default(), 1);
     let view =
         |changes, blocked| FleetView { blocked: Some((changes, blocked)), ..FleetView::default() };
-    knowledge.apply_blocked(&view(2, blocked(SECOND)), START);
-    knowledge.apply_blocked(&view(1, Vec::new()), START);
-    assert!(knowledge.crashes().is_blocked(REQUEST, START));
-    assert_eq!(knowledge.seen_versions().blocked, 2);
+    state.apply_blocked(&view(2, blocked(SECOND)), START);
+    state.apply_blocked(&view(1, Vec::new()), START);
+    assert!(state.crashes().is_blocked(REQUEST, START));
+    assert_eq!(state.seen_versions().blocked, 2);
 }
 
-/// What a connection that broke off is worth, by what comes to be known of its replica.
+/// How a broken connection counts once more is known of the replica.
 mod suspicions {
     use super::*;
 
@@ -118,35 +120,35 @@
     }
 
     #[test]
-    fn it_counts_from_the_break_once_the_replica_has_ended() {
+    fn it_counts_from_the_break_once_the_replica_ended() {
         let mut crashes = suspected();
-        assert_eq!(crashes.on_replica_ended("i-0", after(3)), 1);
-        let notes = crashes.notes(after(3));
+        assert_eq!(crashes.on_replica_ended("i-0", after_seconds(3)), 1);
+        let notes = crashes.notes(after_seconds(3));
         assert_eq!((notes.crashes[0].age, notes.crashes[0].ran_for), (SECOND * 3, RUN));
-        assert_eq!(crashes.on_replica_ended("i-0", after(3)), 0);
+        assert_eq!(crashes.on_replica_ended("i-0", after_seconds(3)), 0);
     }
 
     #[test]
-    fn another_replica_says_nothing() {
-        assert_eq!(suspected().on_replica_ended("i-1", after(1)), 0);
+    fn the_end_of_another_replica_does_not_count() {
+        assert_eq!(suspected().on_replica_ended("i-1", after_seconds(1)), 0);
     }
 
     #[test]
-    fn what_the_replica_outlived_does_not_count() {
+    fn a_break_that_the_replica_survived_does_not_count() {
         let mut crashes = suspected();
         crashes.clear_suspicion("i-0", START);
         assert!(crashes.is_suspected("i-0"));
-        crashes.clear_suspicion("i-0", after(1));
-        assert_eq!(crashes.on_replica_ended("i-0", after(2)), 0);
+        crashes.clear_suspicion("i-0", after_seconds(1));
+        assert_eq!(crashes.on_replica_ended("i-0", after_seconds(2)), 0);
     }
 
     #[test]
-    fn it_is_forgotten_in_time() {
-        assert_eq!(suspected().on_replica_ended("i-0", after(9)), 0);
+    fn a_suspicion_expires() {
+        assert_eq!(suspected().on_replica_ended("i-0", after_seconds(9)), 0);
     }
 
     #[test]
-    fn their_number_is_bounded() {
+    fn the_number_of_suspicions_is_limited() {
         let mut crashes = CrashTracker::default();
         for number in 0..1_000 {
             crashes.on_connection_broken(RequestDigest(number), "i-0", RUN, START);
--- a/crates/gateway/tests/estimator.rs
+++ b/crates/gateway/tests/estimator.rs
@@ -1,18 +1,18 @@
-//! What is measured of engines: priors that are wrong are unlearned within seconds.
+//! The estimated prefill rate converges from a wrong initial rate within seconds.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 use topazmount_gateway::PrefillEstimator;
 
-/// Rate assumed at first, in tokens a millisecond.
+/// Initial rate, in tokens per millisecond.
 const PRIOR: f64 = 40.0;
-/// Time to a first token beside reading, in milliseconds.
+/// Fixed part of the time to first token, in milliseconds.
 const FIXED_MS: f64 = 20.0;
 
-/// Samples of an engine: short and long prompts, of which a part waited behind others, or had lost
-/// what was believed to be kept.
-fn after(engine_rate: f64, samples: u32, delayed: f64) -> f64 {
+/// Estimated rate after samples of short and long prompts, of which a share is slower, as after
+/// queueing or cache misses.
+fn estimate_after(engine_rate: f64, samples: u32, delayed_share: f64) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut estimate = PrefillEstimator::new(PRIOR);
     for _ in 0..samples {
@@ -21,11 +21,11 @@
         } else {
             rng.random_range(1_500..9_000)
         };
-        let mut waited = FIXED_MS + f64::from(tokens) / engine_rate;
-        if rng.random_bool(delayed) {
-            waited *= rng.random_range(1.2..4.0);
+        let mut waited_ms = FIXED_MS + f64::from(tokens) / engine_rate;
+        if rng.random_bool(delayed_share) {
+            waited_ms *= rng.random_range(1.2..4.0);
         }
-        estimate.record(tokens, waited);
+        estimate.record(tokens, waited_ms);
     }
     estimate.tokens_per_ms()
 }
@@ -35,25 +35,23 @@
 #[case("four times as fast", 4.0 * PRIOR)]
 #[case("four times as slow", PRIOR / 4.0)]
 #[case("a half faster", 1.5 * PRIOR)]
-fn the_rate_of_an_engine_is_found(#[case] name: &str, #[case] rate: f64) {
-    // A gateway sees some ten prompts a second.
-    for delayed in [0.0, 0.3] {
-        let found = after(rate, 300, delayed);
-        assert!((0.7..1.3).contains(&(found / rate)), "{name}, {delayed}: {found} of {rate}");
+fn the_estimate_converges_to_the_engine_rate(#[case] name: &str, #[case] rate: f64) {
+    for delayed_share in [0.0, 0.3] {
+        let estimated = estimate_after(rate, 300, delayed_share);
+        assert!(
+            (0.7..1.3).contains(&(estimated / rate)),
+            "{name}, {delayed_share}: {estimated} of {rate}"
+        );
     }
 }
 
 #[rstest]
-#[case("no time", 5_000, 0.0)]
-#[case("less than none", 5_000, -3.0)]
-#[case("no number", 5_000, f64::NAN)]
-#[case("no end", 5_000, f64::INFINITY)]
-#[case("no tokens", 0, 20.0)]
-fn what_can_not_be_a_time_changes_no_rate(
-    #[case] name: &str,
-    #[case] tokens: u32,
-    #[case] ms: f64,
-) {
+#[case("zero time", 5_000, 0.0)]
+#[case("negative time", 5_000, -3.0)]
+#[case("NaN", 5_000, f64::NAN)]
+#[case("infinite time", 5_000, f64::INFINITY)]
+#[case("zero tokens", 0, 20.0)]
+fn invalid_times_are_ignored(#[case] name: &str, #[case] tokens: u32, #[case] ms: f64) {
     let mut estimate = PrefillEstimator::new(PRIOR);
     (0..100).for_each(|_| estimate.record(tokens, ms));
     assert_eq!(estimate.tokens_per_ms(), PRIOR, "{name}");
--- a/crates/gateway/tests/incarnation_series.rs
+++ b/crates/gateway/tests/incarnation_series.rs
@@ -1,4 +1,5 @@
-//! Random series of what a gateway hears and does: nothing of an earlier incarnation counts, and no count leaks.
+//! Random series of events at a gateway: nothing of an earlier incarnation affects the current one,
+//! and no load count leaks.
 
 mod common;
 
@@ -16,7 +17,7 @@
 const STEPS: usize = 200;
 const IDS: [&str; 3] = ["i-0", "i-1", "i-2"];
 
-/// A request under way.
+/// A request in progress.
 struct Running {
     choice: Choice,
     prompt: Prompt,
@@ -25,38 +26,38 @@
     has_first_token: bool,
 }
 
-/// An incarnation as it should be believed in.
+/// Expected record of an incarnation.
 #[derive(Clone, Copy)]
-struct Known {
+struct ExpectedIncarnation {
     start: Start,
     number: usize,
     version: Option<u32>,
     correction: (u64, u32),
-    is_barred: bool,
+    is_excluded: bool,
 }
 
-struct World {
+struct Simulation {
     rng: ChaCha8Rng,
     now: Time,
     balancer: Balancer,
-    known: BTreeMap<&'static str, Known>,
+    known: BTreeMap<&'static str, ExpectedIncarnation>,
     running: Vec<Running>,
-    /// Incarnations so far.
+    /// Number of incarnations so far.
     count: usize,
-    /// Choices of all incarnations that were ever made.
-    made: Vec<Choice>,
+    /// All choices made so far.
+    choices: Vec<Choice>,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
-        World {
+        Simulation {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: Time::from_secs(1_000),
             balancer: Balancer::new("north", seed),
             known: BTreeMap::new(),
             running: Vec::new(),
             count: 0,
-            made: Vec::new(),
+            choices: Vec::new(),
         }
     }
 
@@ -69,22 +70,28 @@
         match self.rng.random_range(0..100) {
             0..12 => self.upsert(),
             12..16 => self.remove(),
-            16..30 => self.hear_status(),
+            16..30 => self.apply_status(),
             30..55 => self.send(),
             55..67 => self.first_token(),
             67..85 => self.end(),
-            _ => self.hear_late(),
+            _ => self.apply_late_event(),
         }
     }
 
-    /// Starts are few, so that the same one is often told again.
+    /// There are few possible starts, so that the same one is often reported again.
     fn upsert(&mut self) {
         let (id, start) = (self.id(), Start(self.rng.random_range(0..4)));
         self.balancer.upsert(Instance { start, ..instance(id, "pool", "north") });
         if self.known.get(id).is_none_or(|known| known.start != start) {
             self.count += 1;
             let (number, correction) = (self.count, (0, 0));
-            let known = Known { start, number, version: None, correction, is_barred: false };
+            let known = ExpectedIncarnation {
+                start,
+                number,
+                version: None,
+                correction,
+                is_excluded: false,
+            };
             self.known.insert(id, known);
         }
     }
@@ -95,13 +102,13 @@
         self.known.remove(id);
     }
 
-    fn hear_status(&mut self) {
+    fn apply_status(&mut self) {
         let id = self.id();
         let start = Start(self.rng.random_range(0..4));
         let version = self.rng.random_range(1..6);
         let correction = (self.rng.random_range(0..3), self.rng.random_range(0..3));
-        let is_barred = self.rng.random_range(0..4) == 0;
-        let availability = if is_barred { Availability::Barred } else { Availability::Open };
+        let is_excluded = self.rng.random_range(0..4) == 0;
+        let availability = if is_excluded { Availability::Barred } else { Availability::Open };
         let models = vec![LoadedModel { model: "model".to_owned(), version }];
         let id_text = id.to_owned();
         self.balancer.set_status(&InstanceStatus {
@@ -112,7 +119,7 @@
             correction,
         });
         if let Some(known) = self.known.get_mut(id).filter(|known| known.start == start) {
-            known.is_barred = is_barred;
+            known.is_excluded = is_excluded;
             let is_later = correction > known.correction;
             known.correction = known.correction.max(correction);
             known.version = if is_later { Some(version) } else { known.version.max(Some(version)) };
@@ -127,12 +134,12 @@
         let name = incarnation_name(id, known.start);
         let request = ChoiceRequest { pinned_to: Some(&name), ..choice_request(&prompt, None) };
         let choice = self.balancer.choose(&request, self.now, &mut PolicyTable::default());
-        assert_eq!(choice.is_none(), known.is_barred, "{id}");
+        assert_eq!(choice.is_none(), known.is_excluded, "{id}");
         let Some(choice) = choice else { return };
         assert_eq!(choice.version, known.version);
         self.balancer.on_sent(&choice, &request, self.now);
         let incarnation = known.number;
-        self.made.push(choice.clone());
+        self.choices.push(choice.clone());
         self.running.push(Running { choice, prompt, incarnation, has_first_token: false });
     }
 
@@ -141,11 +148,11 @@
             return;
         }
         let position = self.rng.random_range(0..self.running.len());
-        let one = &mut self.running[position];
-        if !std::mem::replace(&mut one.has_first_token, true) {
-            let request = choice_request(&one.prompt, None);
+        let running = &mut self.running[position];
+        if !std::mem::replace(&mut running.has_first_token, true) {
+            let request = choice_request(&running.prompt, None);
             let waited = Duration::from_millis(300);
-            self.balancer.on_first_token(&one.choice, &request, waited, self.now);
+            self.balancer.on_first_token(&running.choice, &request, waited, self.now);
         }
     }
 
@@ -154,21 +161,21 @@
             return;
         }
         let position = self.rng.random_range(0..self.running.len());
-        let one = self.running.swap_remove(position);
-        self.balancer.on_ended(&one.choice, one.has_first_token);
+        let request = self.running.swap_remove(position);
+        self.balancer.on_ended(&request.choice, request.has_first_token);
         match self.rng.random_range(0..3) {
-            0 => self.balancer.on_failure(&one.choice, self.now),
-            1 => self.balancer.on_success(&one.choice, self.now),
+            0 => self.balancer.on_failure(&request.choice, self.now),
+            1 => self.balancer.on_success(&request.choice, self.now),
             _ => {}
         }
     }
 
-    /// Word of an incarnation that is there no more.
-    fn hear_late(&mut self) {
-        if self.made.is_empty() {
+    /// Applies a late event of an incarnation that is not current any more.
+    fn apply_late_event(&mut self) {
+        if self.choices.is_empty() {
             return;
         }
-        let choice = self.made[self.rng.random_range(0..self.made.len())].clone();
+        let choice = self.choices[self.rng.random_range(0..self.choices.len())].clone();
         let known = self.known.get(choice.instance.id.as_str());
         if known.is_some_and(|known| known.start == choice.instance.start) {
             return;
@@ -193,13 +200,14 @@
     fn check(&self) {
         for id in IDS {
             let known = self.known.get(id);
-            let here = |one: &&Running| {
-                let is_known = known.is_some_and(|known| known.number == one.incarnation);
-                is_known && one.choice.instance.id == id
+            let is_current = |request: &&Running| {
+                let is_known = known.is_some_and(|known| known.number == request.incarnation);
+                is_known && request.choice.instance.id == id
             };
-            let running: Vec<&Running> = self.running.iter().filter(here).collect();
-            let unread = running.iter().filter(|one| !one.has_first_token);
-            let pending = unread.map(|one| u64::from(one.choice.expected_prefill)).sum();
+            let running: Vec<&Running> = self.running.iter().filter(is_current).collect();
+            let without_token = running.iter().filter(|request| !request.has_first_token);
+            let pending =
+                without_token.map(|request| u64::from(request.choice.expected_prefill)).sum();
             let expected = known.map(|_| (running.len() as u32, pending));
             assert_eq!(self.balancer.load(id), expected, "{id}");
         }
@@ -207,12 +215,13 @@
 }
 
 #[test]
-fn nothing_of_an_earlier_incarnation_counts_and_no_count_leaks() {
+fn earlier_incarnations_have_no_effect_and_no_count_leaks() {
     for seed in 0..SERIES {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for step in 0..STEPS {
-            world.step();
-            let checked = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| world.check()));
+            simulation.step();
+            let checked =
+                std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| simulation.check()));
             assert!(checked.is_ok(), "seed {seed}, step {step}");
         }
     }
--- a/crates/gateway/tests/late_bars.rs
+++ b/crates/gateway/tests/outdated_weights.rs
@@ -1,4 +1,4 @@
-//! Old weights where nobody tells a gateway that they are barred.
+//! Outdated weights must not be used where no leader excludes the replica.
 
 mod common;
 
@@ -15,8 +15,8 @@
     vec![LoadedModel { model: "model".to_owned(), version }]
 }
 
-/// A gateway that knows one replica, which its leader has told of as open on version 1.
-fn on_first_version() -> (Balancer, InstanceStatus) {
+/// A gateway with one replica, reported by the leader as open with version 1.
+fn gateway_with_version_1() -> (Balancer, InstanceStatus) {
     let mut balancer = Balancer::new("north", 1);
     balancer.upsert(instance("i-0", "pool", "north"));
     let status = InstanceStatus {
@@ -30,10 +30,11 @@
     (balancer, status)
 }
 
-/// Members that follow tell of a newer version; none that leads tells of the replica for longer than the bound.
+/// Only followers send updates for longer than the time limit, with a newer version and no
+/// statuses.
 #[test]
-fn a_gateway_that_hears_followers_alone_sends_nothing_to_weights_beyond_their_bound() {
-    let (mut balancer, _) = on_first_version();
+fn outdated_weights_get_no_prompts_while_only_followers_report() {
+    let (mut balancer, _) = gateway_with_version_1();
     balancer.set_published(&loaded(2), NOW);
     let prompt = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
     let request = choice_request(&prompt, None);
@@ -43,14 +44,14 @@
     assert_ne!(
         expected,
         Some(Some(1)),
-        "20 s after version 2 was heard of, a prompt begins on version 1"
+        "20 s after the publication of version 2, a prompt requires version 1"
     );
 }
 
-/// A follower says which versions are over, and nothing of the replica itself.
+/// A follower sends the oldest allowed version, but no status of the replica.
 #[test]
-fn a_gateway_passes_over_weights_that_are_over_whatever_the_status_says() {
-    let (mut balancer, status) = on_first_version();
+fn versions_below_the_minimum_are_excluded_whatever_the_status_says() {
+    let (mut balancer, status) = gateway_with_version_1();
     balancer.set_min_versions(&loaded(2));
     let prompt = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
     let request = choice_request(&prompt, None);
@@ -59,20 +60,25 @@
     assert!(balancer.choose(&request, NOW, &mut PolicyTable::default()).is_some());
 }
 
-/// A leader that has just begun counts anew, and leaves replicas open until it has ordered them: its word goes first.
+/// A new leader restarts the time limit, so its statuses take precedence over the gateway's own
+/// limit.
 #[test]
-fn while_a_leader_tells_news_its_statuses_say_which_weights_are_over() {
-    let (mut balancer, _) = on_first_version();
+fn while_a_leader_reports_its_statuses_decide_which_weights_are_outdated() {
+    let (mut balancer, _) = gateway_with_version_1();
     balancer.set_published(&loaded(2), NOW);
     let prompt = prompt(&[(1, 2_500), (100, 3_800), (1_000, 900)]);
     let request = choice_request(&prompt, None);
-    let expected_at = |after: u64, balancer: &mut Balancer| {
-        let now = NOW + Duration::from_millis(after);
+    let expected_at = |after_ms: u64, balancer: &mut Balancer| {
+        let now = NOW + Duration::from_millis(after_ms);
         balancer.choose(&request, now, &mut PolicyTable::default()).unwrap().required_version
     };
     balancer.record_leader_contact(NOW + Duration::from_secs(20));
     assert_eq!(expected_at(20_400, &mut balancer), Some(1));
-    assert_eq!(expected_at(26_499, &mut balancer), Some(1), "6.5 s after a leader's last word");
+    assert_eq!(
+        expected_at(26_499, &mut balancer),
+        Some(1),
+        "less than 6.5 s after the leader's last update"
+    );
     assert_eq!(expected_at(26_500, &mut balancer), Some(2));
     balancer.record_leader_contact(NOW + Duration::from_secs(27));
     assert_eq!(expected_at(27_400, &mut balancer), Some(1));
--- a/crates/gateway/tests/overload.rs
+++ b/crates/gateway/tests/overload.rs
@@ -1,8 +1,9 @@
-//! More prompts than engines can read: what callers get with and without refusing what would be late.
+//! Load shedding: with more prompts than the engines can read, more of them are in time if late
+//! ones are refused.
 //!
-//! Engines are played in steps: a piece of a prompt of 4,096 tokens at most, and a token of each answer that runs. Two kinds
-//! of prompts come, short ones that are answered at length and long ones that are read for long, and a caller that is refused
-//! comes once more when it was told to.
+//! The engines are simulated in steps, each of which reads at most 4,096 tokens of one prompt and
+//! generates a token of each running answer. There are short prompts with long answers and long
+//! prompts with short answers. A refused client retries once, after the delay that it was given.
 
 mod common;
 
@@ -19,15 +20,15 @@
 use topazmount_types::{Start, Time};
 
 const ENGINES: usize = 8;
-const PLACES: usize = 16;
-/// Time of a step beside what is read, in milliseconds, and tokens read a millisecond.
+const SLOTS: usize = 16;
+/// Time of a step without prefill, in milliseconds, and prefill rate in tokens per millisecond.
 const STEP_MS: f64 = 5.2;
 const RATE: f64 = 38.4;
-const PIECE: u32 = 4_096;
-/// Tokens that come together in an event of a stream.
-const STRIDE: u32 = 6;
-const LONGEST_PAUSE_MS: f64 = 600.0;
-const LENGTH_S: f64 = 20.0;
+const MAX_TOKENS_PER_STEP: u32 = 4_096;
+/// Number of tokens per event of a stream.
+const TOKENS_PER_EVENT: u32 = 6;
+const MAX_PAUSE_MS: f64 = 600.0;
+const DURATION_S: f64 = 20.0;
 const TICK_MS: f64 = 1.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +42,7 @@
         Duration::from_millis(if self == Kind::Short { 600 } else { 800 })
     }
 
-    fn rank(self) -> u32 {
+    fn priority(self) -> u32 {
         if self == Kind::Short { 0 } else { 1 }
     }
 }
@@ -50,7 +51,7 @@
     kind: Kind,
     prompt: Prompt,
     choice: Choice,
-    came_ms: f64,
+    arrived_ms: f64,
     unread: u32,
     tokens_left: u32,
     first_ms: Option<f64>,
@@ -66,30 +67,30 @@
     reading: Option<(usize, u32)>,
 }
 
-/// What callers of one kind got.
+/// Results of the requests of one kind.
 #[derive(Clone, Copy, Debug, Default)]
-struct Got {
-    asked: u32,
+struct Results {
+    requests: u32,
     in_time: u32,
     late: u32,
     refused: u32,
 }
 
-struct Day {
-    knowledge: GatewayState,
+struct Simulation {
+    state: GatewayState,
     engines: Vec<Engine>,
-    refuses: bool,
+    sheds_load: bool,
     rng: ChaCha8Rng,
-    got: [Got; 2],
-    /// Callers that were told to come again, and when.
-    returning: Vec<(f64, Kind, Prompt, f64)>,
+    results: [Results; 2],
+    /// Refused clients and when they retry.
+    retrying: Vec<(f64, Kind, Prompt, f64)>,
 }
 
 fn time(ms: f64) -> Time {
     Time::from_secs(1_000) + Duration::from_secs_f64(ms / 1_000.0)
 }
 
-fn knowledge() -> GatewayState {
+fn state() -> GatewayState {
     let first = parts(1);
     let pool = Service {
         name: "pool".to_owned(),
@@ -99,10 +100,10 @@
     };
     let services = [first.services.clone(), vec![pool]].concat();
     let catalog = Catalog::new(CatalogParts { services, ..first }).unwrap();
-    let place = |id: &String| {
-        let mut one = instance(id, "pool", "north");
-        one.slots = PLACES as u32;
-        one
+    let engine_instance = |id: &String| {
+        let mut instance = instance(id, "pool", "north");
+        instance.slots = SLOTS as u32;
+        instance
     };
     let ids: Vec<String> = (0..ENGINES).map(|number| format!("engine-{number}")).collect();
     let status = |id: &String| InstanceStatus {
@@ -115,14 +116,14 @@
     let view = FleetView {
         revision: 1,
         is_full: true,
-        instances: ids.iter().map(place).collect(),
+        instances: ids.iter().map(engine_instance).collect(),
         statuses: Some(((0, 1), ids.iter().map(status).collect())),
         staleness: Some(Duration::ZERO),
         ..FleetView::default()
     };
-    let mut knowledge = GatewayState::new("north", GatewaySettings::default(), 1);
-    knowledge.apply(&view, Some(catalog), time(0.0));
-    knowledge
+    let mut state = GatewayState::new("north", GatewaySettings::default(), 1);
+    state.apply(&view, Some(catalog), time(0.0));
+    state
 }
 
 fn request<'a>(
@@ -132,36 +133,36 @@
     common::choice_request(prompt, Some(engine))
 }
 
-impl Day {
-    /// Plays a day on which so many prompts of each kind come a second.
-    fn play(short_per_s: f64, long_per_s: f64, refuses: bool, seed: u64) -> [Got; 2] {
-        let mut day = Day {
-            knowledge: knowledge(),
+impl Simulation {
+    /// Simulates traffic with these rates of prompts of each kind.
+    fn run(short_per_s: f64, long_per_s: f64, sheds_load: bool, seed: u64) -> [Results; 2] {
+        let mut simulation = Simulation {
+            state: state(),
             engines: (0..ENGINES).map(|_| Engine::default()).collect(),
-            refuses,
+            sheds_load,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            got: Default::default(),
-            returning: Vec::new(),
+            results: Default::default(),
+            retrying: Vec::new(),
         };
         let mut now_ms = 0.0;
-        while now_ms < LENGTH_S * 2_000.0 {
-            if now_ms < LENGTH_S * 1_000.0 {
+        while now_ms < DURATION_S * 2_000.0 {
+            if now_ms < DURATION_S * 1_000.0 {
                 for (kind, per_s) in [(Kind::Short, short_per_s), (Kind::Long, long_per_s)] {
-                    if day.rng.random_bool(per_s * TICK_MS / 1_000.0) {
-                        day.come(kind, now_ms);
+                    if simulation.rng.random_bool(per_s * TICK_MS / 1_000.0) {
+                        simulation.arrive(kind, now_ms);
                     }
                 }
             }
-            day.come_again(now_ms);
+            simulation.retry(now_ms);
             for number in 0..ENGINES {
-                day.work(number, now_ms);
+                simulation.step(number, now_ms);
             }
             now_ms += TICK_MS;
         }
-        day.got
+        simulation.results
     }
 
-    fn come(&mut self, kind: Kind, now_ms: f64) {
+    fn arrive(&mut self, kind: Kind, now_ms: f64) {
         let own = self.rng.random::<u64>();
         let mut prompt = match kind {
             Kind::Short => prompt(&[(self.rng.random_range(0..40), 200), (own, 630)]),
@@ -172,39 +173,39 @@
             ]),
         };
         prompt.output_tokens = if kind == Kind::Short { 49 } else { 9 };
-        self.got[kind as usize].asked += 1;
+        self.results[kind as usize].requests += 1;
         self.serve(kind, prompt, now_ms, now_ms, true);
     }
 
-    fn come_again(&mut self, now_ms: f64) {
-        let due: Vec<_> = self.returning.extract_if(.., |(at, ..)| *at <= now_ms).collect();
-        for (_, kind, prompt, came_ms) in due {
-            self.serve(kind, prompt, came_ms, now_ms, false);
+    fn retry(&mut self, now_ms: f64) {
+        let due: Vec<_> = self.retrying.extract_if(.., |(at, ..)| *at <= now_ms).collect();
+        for (_, kind, prompt, arrived_ms) in due {
+            self.serve(kind, prompt, arrived_ms, now_ms, false);
         }
     }
 
-    fn serve(&mut self, kind: Kind, prompt: Prompt, came_ms: f64, now_ms: f64, is_first: bool) {
+    fn serve(&mut self, kind: Kind, prompt: Prompt, arrived_ms: f64, now_ms: f64, is_first: bool) {
         let (engine, now) = (engine(), time(now_ms));
-        let asked = request(&prompt, &engine);
-        let choice = self.knowledge.choose(&asked, now).unwrap();
-        let prospect = TtftEstimate {
+        let choice_request = request(&prompt, &engine);
+        let choice = self.state.choose(&choice_request, now).unwrap();
+        let ttft = TtftEstimate {
             estimate: Duration::from_secs_f64(choice.estimate_ms.max(0.0) / 1_000.0),
             elapsed: Duration::ZERO,
             target: kind.target(),
-            priority: kind.rank(),
+            priority: kind.priority(),
             has_empty_queue: choice.has_empty_queue,
             slot_utilization: choice.slot_utilization,
         };
-        let wait = prospect.retry_delay_if_late(self.rng.random()).filter(|_| self.refuses);
+        let wait = ttft.retry_delay_if_late(self.rng.random()).filter(|_| self.sheds_load);
         match wait {
             Some(wait) if is_first => {
                 let at = now_ms + wait.as_secs_f64() * 1_000.0;
-                return self.returning.push((at, kind, prompt, came_ms));
+                return self.retrying.push((at, kind, prompt, arrived_ms));
             }
-            Some(_) => return self.got[kind as usize].refused += 1,
+            Some(_) => return self.results[kind as usize].refused += 1,
             None => {}
         }
-        self.knowledge.balancer().on_sent(&choice, &asked, now);
+        self.state.balancer().on_sent(&choice, &choice_request, now);
         let number: usize = choice.instance.id.rsplit('-').next().unwrap().parse().unwrap();
         let job = Job {
             kind,
@@ -212,45 +213,52 @@
             tokens_left: prompt.output_tokens,
             prompt,
             choice,
-            came_ms,
+            arrived_ms,
             first_ms: None,
             event_ms: now_ms,
             longest_pause_ms: 0.0,
         };
         let waiting = &mut self.engines[number].waiting;
-        let place = waiting.partition_point(|other| other.kind.rank() <= kind.rank());
-        waiting.insert(place, job);
+        let position = waiting.partition_point(|other| other.kind.priority() <= kind.priority());
+        waiting.insert(position, job);
     }
 
-    /// Ends a step of an engine, and begins the next one.
-    fn work(&mut self, number: usize, now_ms: f64) {
+    /// Ends a step of an engine and starts the next one.
+    fn step(&mut self, number: usize, now_ms: f64) {
         if now_ms < self.engines[number].step_ends_ms {
             return;
         }
-        let is_read = self.engines[number].reading.take();
-        for place in 0..self.engines[number].running.len() {
-            self.advance(number, place, is_read, now_ms);
+        let prefilled = self.engines[number].reading.take();
+        for position in 0..self.engines[number].running.len() {
+            self.record_progress(number, position, prefilled, now_ms);
         }
         let ended: Vec<Job> = self.engines[number]
             .running
             .extract_if(.., |job| job.unread == 0 && job.tokens_left == 0)
             .collect();
         ended.into_iter().for_each(|job| self.end(job));
-        let one = &mut self.engines[number];
-        while one.running.len() < PLACES
-            && let Some(job) = one.waiting.pop_front()
+        let engine = &mut self.engines[number];
+        while engine.running.len() < SLOTS
+            && let Some(job) = engine.waiting.pop_front()
         {
-            one.running.push(job);
+            engine.running.push(job);
         }
-        let next = one.running.iter().position(|job| job.unread > 0);
-        one.reading = next.map(|place| (place, one.running[place].unread.min(PIECE)));
-        let read = one.reading.map_or(0, |(_, tokens)| tokens);
-        one.step_ends_ms = now_ms + STEP_MS + f64::from(read) / RATE;
+        let next = engine.running.iter().position(|job| job.unread > 0);
+        engine.reading = next
+            .map(|position| (position, engine.running[position].unread.min(MAX_TOKENS_PER_STEP)));
+        let prefilled = engine.reading.map_or(0, |(_, tokens)| tokens);
+        engine.step_ends_ms = now_ms + STEP_MS + f64::from(prefilled) / RATE;
     }
 
-    fn advance(&mut self, number: usize, place: usize, read: Option<(usize, u32)>, now_ms: f64) {
-        let job = &mut self.engines[number].running[place];
-        if let Some((_, tokens)) = read.filter(|(reading, _)| *reading == place) {
+    fn record_progress(
+        &mut self,
+        number: usize,
+        position: usize,
+        prefilled: Option<(usize, u32)>,
+        now_ms: f64,
+    ) {
+        let job = &mut self.engines[number].running[position];
+        if let Some((_, tokens)) = prefilled.filter(|(reading, _)| *reading == position) {
             job.unread -= tokens;
         }
         if job.unread > 0 {
@@ -262,57 +270,60 @@
             job.first_ms = Some(now_ms);
             job.event_ms = now_ms;
             let engine = engine();
-            let asked = request(&job.prompt, &engine);
-            let waited = Duration::from_secs_f64((now_ms - job.came_ms) / 1_000.0);
-            self.knowledge.on_first_token(&job.choice, &asked, waited, time(now_ms));
-        } else if sent.is_multiple_of(STRIDE) || job.tokens_left == 0 {
+            let choice_request = request(&job.prompt, &engine);
+            let waited = Duration::from_secs_f64((now_ms - job.arrived_ms) / 1_000.0);
+            self.state.on_first_token(&job.choice, &choice_request, waited, time(now_ms));
+        } else if sent.is_multiple_of(TOKENS_PER_EVENT) || job.tokens_left == 0 {
             job.longest_pause_ms = job.longest_pause_ms.max(now_ms - job.event_ms);
             job.event_ms = now_ms;
         }
     }
 
     fn end(&mut self, job: Job) {
-        self.knowledge.balancer().on_ended(&job.choice, true);
-        let first_ms = job.first_ms.unwrap_or(f64::MAX) - job.came_ms;
+        self.state.balancer().on_ended(&job.choice, true);
+        let first_ms = job.first_ms.unwrap_or(f64::MAX) - job.arrived_ms;
         let target_ms = job.kind.target().as_secs_f64() * 1_000.0;
-        let got = &mut self.got[job.kind as usize];
-        match first_ms <= target_ms && job.longest_pause_ms <= LONGEST_PAUSE_MS {
-            true => got.in_time += 1,
-            false => got.late += 1,
+        let results = &mut self.results[job.kind as usize];
+        match first_ms <= target_ms && job.longest_pause_ms <= MAX_PAUSE_MS {
+            true => results.in_time += 1,
+            false => results.late += 1,
         }
     }
 }
 
-/// A quarter more than the engines can do. Without refusing 170 of 1,291 long prompts and 1,220 of 1,367 short ones were in
-/// time, with it 837 of 1,279 and 1,363 of 1,376.
+/// A quarter more than the capacity of the engines.
 #[test]
-fn more_of_each_kind_is_in_time_where_what_would_be_late_is_refused() {
-    let before = Day::play(70.0, 65.0, false, 7);
-    let after = Day::play(70.0, 65.0, true, 7);
-    println!("before {before:?}\nafter {after:?}");
-    let share = |got: [Got; 2], kind: Kind| {
-        let got = got[kind as usize];
-        f64::from(got.in_time) / f64::from(got.asked)
+fn load_shedding_serves_more_of_each_kind_in_time() {
+    let without_shedding = Simulation::run(70.0, 65.0, false, 7);
+    let with_shedding = Simulation::run(70.0, 65.0, true, 7);
+    println!("without {without_shedding:?}\nwith {with_shedding:?}");
+    let share = |results: [Results; 2], kind: Kind| {
+        let results = results[kind as usize];
+        f64::from(results.in_time) / f64::from(results.requests)
     };
-    assert!(share(after, Kind::Long) > share(before, Kind::Long) + 0.3);
-    let missed = |got: [Got; 2]| 1.0 - share(got, Kind::Short);
-    assert!(missed(after) * 3.0 < missed(before));
-    assert_eq!(after[Kind::Short as usize].refused, 0, "the most urgent are not refused");
+    assert!(share(with_shedding, Kind::Long) > share(without_shedding, Kind::Long) + 0.3);
+    let missed_share = |results: [Results; 2]| 1.0 - share(results, Kind::Short);
+    assert!(missed_share(with_shedding) * 3.0 < missed_share(without_shedding));
+    assert_eq!(
+        with_shedding[Kind::Short as usize].refused,
+        0,
+        "prompts of priority 0 are not refused"
+    );
 }
 
-/// A third of what the engines can do.
+/// A third of the capacity of the engines.
 #[test]
-fn nothing_is_refused_for_good_on_a_calm_day() {
-    let got = Day::play(20.0, 16.0, true, 7);
-    for one in got {
-        assert!(one.refused * 1_000 <= one.asked, "{one:?}");
-        assert!(one.in_time * 100 >= one.asked * 95, "{one:?}");
+fn nothing_is_refused_finally_under_normal_load() {
+    let results = Simulation::run(20.0, 16.0, true, 7);
+    for of_kind in results {
+        assert!(of_kind.refused * 1_000 <= of_kind.requests, "{of_kind:?}");
+        assert!(of_kind.in_time * 100 >= of_kind.requests * 95, "{of_kind:?}");
     }
 }
 
 #[test]
-fn what_is_urgent_or_meets_an_engine_at_rest_is_sent() {
-    let late = TtftEstimate {
+fn urgent_prompts_and_prompts_at_idle_engines_are_not_refused() {
+    let late_prompt = TtftEstimate {
         estimate: Duration::from_secs(5),
         elapsed: Duration::ZERO,
         target: Duration::from_millis(800),
@@ -320,11 +331,15 @@
         has_empty_queue: false,
         slot_utilization: 1.0,
     };
-    assert!(late.retry_delay_if_late(0.5).is_some());
-    assert!(TtftEstimate { priority: 0, ..late }.retry_delay_if_late(0.5).is_none());
-    assert!(TtftEstimate { has_empty_queue: true, ..late }.retry_delay_if_late(0.5).is_none());
-    assert!(TtftEstimate { slot_utilization: 0.4, ..late }.retry_delay_if_late(0.5).is_none());
-    let soon = TtftEstimate { estimate: Duration::from_millis(500), ..late };
+    assert!(late_prompt.retry_delay_if_late(0.5).is_some());
+    assert!(TtftEstimate { priority: 0, ..late_prompt }.retry_delay_if_late(0.5).is_none());
+    assert!(
+        TtftEstimate { has_empty_queue: true, ..late_prompt }.retry_delay_if_late(0.5).is_none()
+    );
+    assert!(
+        TtftEstimate { slot_utilization: 0.4, ..late_prompt }.retry_delay_if_late(0.5).is_none()
+    );
+    let soon = TtftEstimate { estimate: Duration::from_millis(500), ..late_prompt };
     assert!(soon.retry_delay_if_late(0.5).is_none());
     assert!(
         TtftEstimate { elapsed: Duration::from_millis(100), ..soon }
@@ -333,10 +348,11 @@
     );
 }
 
-/// Clients that are refused together return one after another, none before what is ahead can be done.
+/// Clients that are refused together get different retry delays, none shorter than the time until
+/// the queue can be done.
 #[test]
-fn waits_are_spread() {
-    let late = TtftEstimate {
+fn retry_delays_are_spread() {
+    let late_prompt = TtftEstimate {
         estimate: Duration::from_millis(1_560),
         elapsed: Duration::ZERO,
         target: Duration::from_millis(800),
@@ -345,7 +361,7 @@
         slot_utilization: 1.0,
     };
     let waits: Vec<u128> = [0.0, 0.5, 1.0]
-        .map(|spread| late.retry_delay_if_late(spread).unwrap().as_millis())
+        .map(|spread| late_prompt.retry_delay_if_late(spread).unwrap().as_millis())
         .to_vec();
     assert_eq!(waits, [900, 1_800, 2_700]);
 }
--- a/crates/gateway/tests/plan.rs
+++ b/crates/gateway/tests/plan.rs
@@ -1,17 +1,17 @@
-//! What follows an attempt, for every way in which one can end.
+//! The next step after each kind of end of an attempt.
 
 use rstest::rstest;
 use topazmount_gateway::{AttemptEnd, NextStep, RequestPlan};
 use topazmount_types::{ErrorKind, RunState};
 
-fn plan(is_repeatable: bool, attempts: u32) -> RequestPlan {
-    let mut plan = RequestPlan::new(is_repeatable, attempts);
+fn plan(is_retryable: bool, attempts: u32) -> RequestPlan {
+    let mut plan = RequestPlan::new(is_retryable, attempts);
     plan.begin("first".to_owned());
     plan
 }
 
 #[rstest]
-// A request that runs at most once goes on only where no byte was sent or the replica said so.
+// A non-retryable request is retried only if no byte was sent or the replica did not run it.
 #[case(false, 2, AttemptEnd::Unreachable, true)]
 #[case(false, 2, AttemptEnd::NotRun, true)]
 #[case(false, 2, AttemptEnd::WrongInstance, true)]
@@ -19,24 +19,24 @@
 #[case(false, 2, AttemptEnd::Unresponsive, false)]
 #[case(false, 2, AttemptEnd::TimedOut, false)]
 #[case(false, 2, AttemptEnd::Abandoned, false)]
-// One that may be repeated goes on after anything but the end of its time.
+// A retryable request is retried unless it timed out or was abandoned.
 #[case(true, 2, AttemptEnd::Broken, true)]
 #[case(true, 2, AttemptEnd::Unresponsive, true)]
 #[case(true, 2, AttemptEnd::NotRun, true)]
 #[case(true, 2, AttemptEnd::TimedOut, false)]
 #[case(true, 2, AttemptEnd::Abandoned, false)]
-// The number of replicas that may be sent it is kept; one that was not reached does not count.
+// The number of attempts is limited; unreachable replicas do not count.
 #[case(true, 1, AttemptEnd::Broken, false)]
 #[case(true, 1, AttemptEnd::NotRun, false)]
 #[case(true, 1, AttemptEnd::Unreachable, true)]
-fn attempts_go_on(
-    #[case] is_repeatable: bool,
+fn attempts_are_retried(
+    #[case] is_retryable: bool,
     #[case] attempts: u32,
     #[case] end: AttemptEnd,
-    #[case] goes_on: bool,
+    #[case] is_retried: bool,
 ) {
-    let next = plan(is_repeatable, attempts).end(end);
-    assert_eq!(matches!(next, NextStep::Retry { .. }), goes_on, "{next:?}");
+    let next = plan(is_retryable, attempts).end(end);
+    assert_eq!(matches!(next, NextStep::Retry { .. }), is_retried, "{next:?}");
 }
 
 #[rstest]
@@ -47,7 +47,7 @@
 #[case(AttemptEnd::Unresponsive, 502)]
 #[case(AttemptEnd::Abandoned, 502)]
 #[case(AttemptEnd::TimedOut, 504)]
-fn refusals_promise_only_what_is_so(#[case] end: AttemptEnd, #[case] status: u16) {
+fn responses_promise_not_run_only_if_nothing_ran(#[case] end: AttemptEnd, #[case] status: u16) {
     let mut plan = plan(false, 1);
     let kind = match plan.end(end) {
         NextStep::Respond(kind) | NextStep::Retry { fallback: kind, .. } => kind,
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_replica_that_said_not_run_does_not_undo_an_earlier_run() {
+fn a_refusal_does_not_undo_an_earlier_run() {
     let mut plan = plan(true, 3);
     assert!(matches!(plan.end(AttemptEnd::Broken), NextStep::Retry { needs_budget: true, .. }));
     plan.begin("second".to_owned());
@@ -70,14 +70,14 @@
 }
 
 #[test]
-fn a_failure_is_passed_on_where_nothing_else_may_be_tried() {
+fn a_failure_is_forwarded_if_no_retry_is_allowed() {
     assert_eq!(plan(false, 3).end(AttemptEnd::Failed), NextStep::Forward);
     assert_eq!(plan(true, 1).end(AttemptEnd::Failed), NextStep::Forward);
     assert_eq!(plan(true, 2).end(AttemptEnd::Failed), NextStep::RetryOrForward);
 }
 
 #[test]
-fn only_attempts_after_an_arrival_are_repeats() {
+fn only_attempts_after_one_that_reached_a_replica_need_budget() {
     let mut plan = plan(true, 3);
     assert!(matches!(
         plan.end(AttemptEnd::Unreachable),
@@ -86,3 +86,20 @@
     plan.begin("second".to_owned());
     assert!(matches!(plan.end(AttemptEnd::NotRun), NextStep::Retry { needs_budget: true, .. }));
 }
+
+#[rstest]
+#[case(AttemptEnd::Unreachable, "Unreachable")]
+#[case(AttemptEnd::NotRun, "NotRun")]
+#[case(AttemptEnd::PushedBack, "TurnedAway")]
+#[case(AttemptEnd::NotSent, "HeldBack")]
+#[case(AttemptEnd::WrongInstance, "WrongInstance")]
+#[case(AttemptEnd::VersionMismatch, "OtherWeights")]
+#[case(AttemptEnd::OutdatedWeights, "OldWeights")]
+#[case(AttemptEnd::Broken, "Broken")]
+#[case(AttemptEnd::Failed, "Failed")]
+#[case(AttemptEnd::Unresponsive, "Silent")]
+#[case(AttemptEnd::Abandoned, "Abandoned")]
+#[case(AttemptEnd::TimedOut, "TimedOut")]
+fn names_in_logs_and_metrics_are_stable(#[case] end: AttemptEnd, #[case] name: &str) {
+    assert_eq!(end.name(), name);
+}
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -1,11 +1,11 @@
-//! Limits of tenants over all gateways together: what is granted in any window keeps the limit, whoever is cut off, frozen,
-//! restarted or replaced, and what is within the limit is let through.
+//! Limits of tenants over all gateways together: no window exceeds the limit through partitions,
+//! freezes, restarts and replacements of gateways, and requests within the limit are served.
 
 mod common;
-mod quota_world;
+mod quota_simulation;
 
 use proptest::prelude::*;
-use quota_world::{Event, LIMIT, World, any_event, bound, tenant_hash};
+use quota_simulation::{Event, LIMIT, Simulation, any_event, bound, tenant_hash};
 use rand::Rng;
 use std::time::Duration;
 use topazmount_gateway::{GrantResponse, Granter, STRIPES, StripeId, TenantLimit};
@@ -18,122 +18,131 @@
         seed in any::<u64>(),
         events in prop::collection::vec(any_event(), 10..50),
     ) {
-        let mut world = World::new(8, seed);
-        world.take(Event::Pass(8_000));
-        events.into_iter().for_each(|event| world.take(event));
-        world.take(Event::Heal);
-        world.take(Event::Elect);
-        world.take(Event::Pass(10_000));
-        let most = world.most_in_window();
-        prop_assert!(most <= bound(LIMIT), "{most} of {}", bound(LIMIT));
-        // The series says something only where grants were given to the end.
-        prop_assert!(world.spent.len() > 50);
+        let mut simulation = Simulation::new(8, seed);
+        simulation.apply(Event::Pass(8_000));
+        events.into_iter().for_each(|event| simulation.apply(event));
+        simulation.apply(Event::Heal);
+        simulation.apply(Event::Elect);
+        simulation.apply(Event::Pass(10_000));
+        let max_used = simulation.max_in_window();
+        prop_assert!(max_used <= bound(LIMIT), "{max_used} of {}", bound(LIMIT));
+        // Grants must have been given throughout the series.
+        prop_assert!(simulation.spent.len() > 50);
     }
 }
 
-/// The whole list is lost with each leader, and gateways come back to it one after the other.
+/// Each new leader starts with an empty list of gateways, which fills up again one by one.
 #[test]
 fn a_new_leader_moves_no_grants() {
-    let mut world = World::new(12, 7);
-    world.pass(Duration::from_secs(8), World::press);
-    world.spent.clear();
+    let mut simulation = Simulation::new(12, 7);
+    simulation.advance(Duration::from_secs(8), Simulation::demand_all);
+    simulation.spent.clear();
     for _ in 0..10 {
-        world.take(Event::LoseLeader);
-        world.take(Event::Pass(1_300));
-        world.take(Event::Elect);
-        world.take(Event::Pass(2_000));
+        simulation.apply(Event::LoseLeader);
+        simulation.apply(Event::Pass(1_300));
+        simulation.apply(Event::Elect);
+        simulation.apply(Event::Pass(2_000));
     }
-    assert!(world.most_in_window() <= bound(LIMIT));
-    let used: f64 = world.spent.iter().map(|(_, amount)| amount).sum();
-    let owed = LIMIT.rate * 33.0;
-    assert!(used > 0.9 * owed, "{used} of {owed}: grants go on while there is no leader");
+    assert!(simulation.max_in_window() <= bound(LIMIT));
+    let used: f64 = simulation.spent.iter().map(|(_, amount)| amount).sum();
+    let allowed = LIMIT.rate * 33.0;
+    assert!(used > 0.9 * allowed, "{used} of {allowed}: grants continue without a leader");
 }
 
-/// Requests come at about half of the limit, as they do on a calm day; a size is what a long prompt has.
-fn calm_day(gateways: usize, lose_one: bool) -> World {
-    let mut world = World::new(gateways, 3);
-    world.pass(Duration::from_secs(9), |_| {});
-    if lose_one {
+/// Requests use about half of the limit, with the sizes of long prompts; optionally the granter of
+/// a stripe is lost.
+fn normal_traffic(gateways: usize, lose_granter: bool) -> Simulation {
+    let mut simulation = Simulation::new(gateways, 3);
+    simulation.advance(Duration::from_secs(9), |_| {});
+    if lose_granter {
         let stripe = StripeId { owner: tenant_hash(), stripe: 0 };
-        let knowledge = |world: &World, number: usize| {
-            let gateway = world.gateways[number].as_ref().unwrap();
-            gateway.knowledge.granter(stripe, world.now)
+        let granter_of = |simulation: &Simulation, number: usize| {
+            let gateway = simulation.gateways[number].as_ref().unwrap();
+            gateway.state.granter(stripe, simulation.now)
         };
-        let holder = (0..gateways).find(|one| knowledge(&world, *one) == Some(Granter::Local));
-        world.take(Event::Kill(holder.unwrap()));
+        let granter =
+            (0..gateways).find(|gateway| granter_of(&simulation, *gateway) == Some(Granter::Local));
+        simulation.apply(Event::Kill(granter.unwrap()));
     }
-    world.pass(Duration::from_secs(40), |world| {
-        let number = world.rng.random_range(0..world.gateways.len());
-        if world.gateways[number].is_some() && world.rng.random_bool(0.55) {
-            let amount = world.rng.random_range(10..90);
-            world.request(number, amount);
+    simulation.advance(Duration::from_secs(40), |simulation| {
+        let number = simulation.rng.random_range(0..simulation.gateways.len());
+        if simulation.gateways[number].is_some() && simulation.rng.random_bool(0.55) {
+            let amount = simulation.rng.random_range(10..90);
+            simulation.request(number, amount);
         }
     });
-    world
+    simulation
 }
 
 #[test]
-fn what_is_within_the_limit_is_let_through_at_one_question() {
+fn requests_within_the_limit_are_granted_by_one_granter() {
     for gateways in [30, 300] {
-        let world = calm_day(gateways, false);
-        assert!(world.asked > 300);
-        assert_eq!(world.refused, 0);
-        assert!(world.questions <= world.asked, "{} questions", world.questions);
+        let simulation = normal_traffic(gateways, false);
+        assert!(simulation.requests > 300);
+        assert_eq!(simulation.refused, 0);
+        assert!(
+            simulation.grant_requests <= simulation.requests,
+            "{} requests to granters",
+            simulation.grant_requests
+        );
     }
 }
 
 #[test]
-fn the_loss_of_a_granter_costs_no_request_within_the_limit() {
-    let world = calm_day(30, true);
-    assert!(world.asked > 300);
-    assert_eq!(world.refused, 0);
+fn the_loss_of_a_granter_refuses_no_request_within_the_limit() {
+    let simulation = normal_traffic(30, true);
+    assert!(simulation.requests > 300);
+    assert_eq!(simulation.refused, 0);
 }
 
 #[test]
-fn a_lower_limit_holds_a_window_later_and_a_higher_one_at_once() {
-    let mut world = World::new(8, 5);
-    world.pass(Duration::from_secs(12), World::press);
-    world.limit = TenantLimit { rate: 100.0, burst: 100.0, ..LIMIT };
-    world.version = 2;
-    world.take(Event::Pass(1_000));
-    world.spent.clear();
-    world.take(Event::Pass(20_000));
-    assert!(world.most_in_window() <= bound(world.limit));
-    world.limit = LIMIT;
-    world.version = 3;
-    world.take(Event::Pass(1_000));
-    world.spent.clear();
-    world.take(Event::Pass(5_000));
-    let used: f64 = world.spent.iter().map(|(_, amount)| amount).sum();
+fn a_lower_limit_holds_after_a_window_and_a_higher_one_at_once() {
+    let mut simulation = Simulation::new(8, 5);
+    simulation.advance(Duration::from_secs(12), Simulation::demand_all);
+    simulation.limit = TenantLimit { rate: 100.0, burst: 100.0, ..LIMIT };
+    simulation.version = 2;
+    simulation.apply(Event::Pass(1_000));
+    simulation.spent.clear();
+    simulation.apply(Event::Pass(20_000));
+    assert!(simulation.max_in_window() <= bound(simulation.limit));
+    simulation.limit = LIMIT;
+    simulation.version = 3;
+    simulation.apply(Event::Pass(1_000));
+    simulation.spent.clear();
+    simulation.apply(Event::Pass(5_000));
+    let used: f64 = simulation.spent.iter().map(|(_, amount)| amount).sum();
     assert!(used > 4_500.0, "{used}");
 }
 
-/// Refused clients are told to come one after another, when there is enough for each.
+/// Refused clients get retry delays at which there is enough for each in turn.
 #[test]
-fn refused_clients_return_one_after_another() {
-    let mut world = World::new(1, 5);
-    world.pass(Duration::from_secs(12), |_| {});
+fn refused_clients_retry_one_after_another() {
+    let mut simulation = Simulation::new(1, 5);
+    simulation.advance(Duration::from_secs(12), |_| {});
     let stripe = StripeId { owner: tenant_hash(), stripe: 0 };
-    while world.ask(0, stripe, 100) == Some(GrantResponse::Granted) {}
+    while simulation.ask(0, stripe, 100) == Some(GrantResponse::Granted) {}
     let waits: Vec<Duration> = (0..5)
-        .filter_map(|_| match world.ask(0, stripe, 100) {
+        .filter_map(|_| match simulation.ask(0, stripe, 100) {
             Some(GrantResponse::LimitExceeded(wait)) => Some(wait),
             _ => None,
         })
         .collect();
     assert_eq!(waits.len(), 5);
-    let apart: Vec<f64> = waits.windows(2).map(|two| (two[1] - two[0]).as_secs_f64()).collect();
-    let each = 100.0 / (LIMIT.rate / f64::from(STRIPES));
-    assert!(apart.iter().all(|time| (time - each).abs() < 0.001), "{apart:?}");
+    let intervals: Vec<f64> = waits.windows(2).map(|two| (two[1] - two[0]).as_secs_f64()).collect();
+    let time_per_request = 100.0 / (LIMIT.rate / f64::from(STRIPES));
+    assert!(
+        intervals.iter().all(|interval| (interval - time_per_request).abs() < 0.001),
+        "{intervals:?}"
+    );
 }
 
 #[test]
-fn what_did_not_run_is_given_back() {
-    let mut world = World::new(1, 5);
-    world.pass(Duration::from_secs(12), |_| {});
+fn units_of_requests_that_did_not_run_are_returned() {
+    let mut simulation = Simulation::new(1, 5);
+    simulation.advance(Duration::from_secs(12), |_| {});
     let stripe = StripeId { owner: tenant_hash(), stripe: 0 };
-    while world.ask(0, stripe, 100) == Some(GrantResponse::Granted) {}
-    let now = world.now;
-    world.gateways[0].as_mut().unwrap().knowledge.return_units(stripe, 100, now);
-    assert_eq!(world.ask(0, stripe, 100), Some(GrantResponse::Granted));
+    while simulation.ask(0, stripe, 100) == Some(GrantResponse::Granted) {}
+    let now = simulation.now;
+    simulation.gateways[0].as_mut().unwrap().state.return_units(stripe, 100, now);
+    assert_eq!(simulation.ask(0, stripe, 100), Some(GrantResponse::Granted));
 }
--- a/crates/gateway/tests/refused_versions.rs
+++ b/crates/gateway/tests/refused_versions.rs
@@ -1,4 +1,4 @@
-//! What a gateway makes of a refusal of the version that a request named, and which version prompts name.
+//! Refusals of the required version by replicas, and the version that prompts require.
 
 mod common;
 
@@ -34,60 +34,65 @@
     balancer.choose(&request, now, &mut PolicyTable::default())
 }
 
-/// One replica that is believed to hold a version.
-fn one(version: u32, named: Option<u32>) -> Balancer {
+/// A gateway with one replica of a recorded version, and a published version.
+fn gateway_with_version(version: u32, published: Option<u32>) -> Balancer {
     let mut balancer = Balancer::new("north", 1);
     balancer.upsert(instance("i-0", "pool", "north"));
     balancer.set_status(&status("i-0", version));
-    balancer.set_published(&named.map(loaded).unwrap_or_default(), NOW);
+    balancer.set_published(&published.map(loaded).unwrap_or_default(), NOW);
     balancer
 }
 
-/// What follows from a refusal of version 2, and which version is named there next, at once or after the pause.
-fn refused(
-    named: Option<u32>,
-    said: Option<u32>,
-    asks_again: bool,
+/// Checks what follows a refusal of version 2, and the next choice's version and required version,
+/// at once or after the pause.
+fn check_refusal(
+    published: Option<u32>,
+    reported: Option<u32>,
+    is_retried: bool,
     next: (Option<u32>, Option<u32>),
 ) {
-    let mut balancer = one(2, named);
+    let mut balancer = gateway_with_version(2, published);
     let choice = choose(&mut balancer, Some("model"), NOW).unwrap();
     assert_eq!(choice.required_version, Some(2));
-    let refused = balancer.on_version_refused(&choice, "model", said, NOW);
-    let at = match &refused {
+    let refusal = balancer.on_version_refused(&choice, "model", reported, NOW);
+    let at = match &refusal {
         VersionRefusal::RetrySame | VersionRefusal::Unexplained => NOW,
         VersionRefusal::Downgraded(change) => {
-            let ReplicaChange::Downgraded { recorded: before, reported: told, .. } = change else {
+            let ReplicaChange::Downgraded { recorded, reported: reported_in_change, .. } = change
+            else {
                 panic!("{change:?}")
             };
-            assert_eq!((*before, *told), (2, said));
+            assert_eq!((*recorded, *reported_in_change), (2, reported));
             let just_before = NOW + DOWNGRADE_PAUSE - Duration::from_millis(1);
             assert_eq!(choose(&mut balancer, Some("model"), just_before), None);
-            assert!(choose(&mut balancer, None, NOW).is_some(), "it serves what names no model");
+            assert!(
+                choose(&mut balancer, None, NOW).is_some(),
+                "requests without a model are served"
+            );
             NOW + DOWNGRADE_PAUSE
         }
     };
-    assert_eq!(refused == VersionRefusal::RetrySame, asks_again, "{refused:?}");
+    assert_eq!(refusal == VersionRefusal::RetrySame, is_retried, "{refusal:?}");
     let choice = choose(&mut balancer, Some("model"), at).unwrap();
     assert_eq!((choice.version, choice.required_version), next);
 }
 
-cases! { refused:
-    a_newer_version_is_noted_and_named => Some(2), Some(3), true, (Some(3), Some(3));
-    also_where_none_was_ever_named => None, Some(3), true, (Some(3), Some(3));
-    an_older_version_is_taken_over => Some(2), Some(1), false, (Some(1), Some(1));
-    also_an_older_one_where_none_was_ever_named => None, Some(1), false, (Some(1), Some(1));
-    without_a_word_the_newest_named_is_asked_for => Some(3), None, true, (None, Some(3));
-    without_a_word_the_named_one_is_not_held => Some(2), None, false, (None, Some(2));
-    nor_one_that_is_newer_than_the_named => Some(1), None, false, (None, Some(1));
-    where_none_was_ever_named_none_is_named_next => None, None, true, (None, None);
-    the_same_version_is_no_reason => Some(2), Some(2), false, (Some(2), Some(2));
+cases! { check_refusal:
+    a_newer_version_is_recorded_and_required => Some(2), Some(3), true, (Some(3), Some(3));
+    a_newer_version_without_a_published_one => None, Some(3), true, (Some(3), Some(3));
+    an_older_version_is_recorded => Some(2), Some(1), false, (Some(1), Some(1));
+    an_older_version_without_a_published_one => None, Some(1), false, (Some(1), Some(1));
+    an_unreported_version_with_a_newer_published_one => Some(3), None, true, (None, Some(3));
+    an_unreported_version_with_the_same_published_one => Some(2), None, false, (None, Some(2));
+    an_unreported_version_with_an_older_published_one => Some(1), None, false, (None, Some(1));
+    an_unreported_version_without_a_published_one => None, None, true, (None, None);
+    the_same_version_is_unexplained => Some(2), Some(2), false, (Some(2), Some(2));
 }
 
-/// The leader has heard the replica by then.
+/// By then the leader has received the replica's report.
 #[test]
 fn the_next_status_ends_the_pause() {
-    let mut balancer = one(2, Some(2));
+    let mut balancer = gateway_with_version(2, Some(2));
     let choice = choose(&mut balancer, Some("model"), NOW).unwrap();
     balancer.on_version_refused(&choice, "model", Some(1), NOW);
     assert_eq!(choose(&mut balancer, Some("model"), NOW), None);
@@ -96,8 +101,8 @@
 }
 
 #[test]
-fn a_replica_that_went_back_is_no_choice_while_another_holds_the_version() {
-    let mut balancer = one(2, Some(2));
+fn a_downgraded_replica_is_not_chosen_while_another_has_the_version() {
+    let mut balancer = gateway_with_version(2, Some(2));
     balancer.upsert(instance("i-1", "pool", "north"));
     balancer.set_status(&status("i-1", 2));
     let choice = choose(&mut balancer, Some("model"), NOW).unwrap();
@@ -107,25 +112,25 @@
     assert_eq!(other.required_version, Some(2));
 }
 
-/// Followers tell of a replica before its status comes; it may hold any weights.
+/// Followers report a replica before its status is known.
 #[test]
-fn a_prompt_names_the_newest_version_where_that_of_its_replica_is_not_known() {
-    let mut knowledge = GatewayState::new("north", GatewaySettings::default(), 1);
+fn a_prompt_requires_the_published_version_if_that_of_the_replica_is_unknown() {
+    let mut state = GatewayState::new("north", GatewaySettings::default(), 1);
     let instances = vec![instance("i-0", "pool", "north")];
     let view = FleetView { revision: 1, instances, ..FleetView::default() };
-    knowledge.apply(&FleetView { weights: loaded(3), ..view.clone() }, None, NOW);
-    // A member that lags tells an older one, or none.
-    knowledge.apply(&FleetView { weights: loaded(2), ..view.clone() }, None, NOW);
-    knowledge.apply(&view, None, NOW);
-    let choice = choose(knowledge.balancer(), Some("model"), NOW).unwrap();
+    state.apply(&FleetView { weights: loaded(3), ..view.clone() }, None, NOW);
+    // A member that lags reports an older version, or none.
+    state.apply(&FleetView { weights: loaded(2), ..view.clone() }, None, NOW);
+    state.apply(&view, None, NOW);
+    let choice = choose(state.balancer(), Some("model"), NOW).unwrap();
     assert_eq!((choice.version, choice.required_version), (None, Some(3)));
-    let other = choose(knowledge.balancer(), Some("other"), NOW).unwrap();
-    assert_eq!(other.required_version, None, "no version of it was ever named");
+    let other = choose(state.balancer(), Some("other"), NOW).unwrap();
+    assert_eq!(other.required_version, None, "no version of it was published");
 }
 
-/// Weights that change all the time hold no request at one replica.
+/// Repeated version mismatches must not keep a request at one replica.
 #[test]
-fn a_replica_is_asked_again_once() {
+fn a_replica_is_retried_once() {
     let mut plan = RequestPlan::new(false, 2);
     plan.begin("i-0".to_owned());
     plan.end(AttemptEnd::VersionMismatch);
@@ -136,25 +141,29 @@
     assert_eq!((plan.pinned_to(), plan.tried()), (None, &["i-0".to_owned()][..]));
     plan.begin("i-1".to_owned());
     plan.end(AttemptEnd::VersionMismatch);
-    assert_eq!(plan.pinned_to().map(String::as_str), Some("i-1"), "another one is");
+    assert_eq!(
+        plan.pinned_to().map(String::as_str),
+        Some("i-1"),
+        "another replica is retried once, too"
+    );
 }
 
-/// The incarnation that was to be asked again may be gone; then it counts as one that was sent the request.
+/// If the pinned incarnation has ended, it counts as an attempt.
 #[test]
-fn a_request_held_to_an_ended_incarnation_goes_to_another_within_its_attempts() {
-    for (attempts, goes_on) in [(2, true), (1, false)] {
+fn a_request_pinned_to_an_ended_incarnation_uses_another_attempt() {
+    for (attempts, is_retried) in [(2, true), (1, false)] {
         let mut plan = RequestPlan::new(false, attempts);
         plan.begin("i-0#1".to_owned());
         plan.end(AttemptEnd::VersionMismatch);
-        assert_eq!(plan.unpin(), goes_on);
+        assert_eq!(plan.unpin(), is_retried);
         assert_eq!((plan.pinned_to(), plan.tried()), (None, &["i-0#1".to_owned()][..]));
-        assert!(!plan.unpin(), "it is held to none");
+        assert!(!plan.unpin(), "it is not pinned any more");
     }
 }
 
-/// A replica that holds older weights said that it did not run the request.
+/// A replica with older weights reports that it did not run the request.
 #[test]
-fn old_weights_count_as_not_run_within_the_attempts() {
+fn outdated_weights_count_as_not_run_and_use_an_attempt() {
     let mut plan = RequestPlan::new(false, 2);
     plan.begin("i-0".to_owned());
     let next = plan.end(AttemptEnd::OutdatedWeights);
--- a/crates/gateway/tests/shards.rs
+++ b/crates/gateway/tests/shards.rs
@@ -1,4 +1,5 @@
-//! Shards of a large fleet: where prompts belong, who coordinates them, and what asking is worth.
+//! Shards of a large fleet: placement of prompts, selection of coordinators, and the benefit of
+//! asking them.
 
 mod common;
 
@@ -31,10 +32,10 @@
         .unwrap()
 }
 
-/// What a gateway of a fleet of this size knows.
+/// State of a gateway in a fleet of this size.
 fn gateway(number: usize, gateways: usize, replicas: usize) -> GatewayState {
-    let mut knowledge = GatewayState::new("north", GatewaySettings::default(), number as u64);
-    knowledge.set_own_address(address(number, PORT));
+    let mut state = GatewayState::new("north", GatewaySettings::default(), number as u64);
+    state.set_own_address(address(number, PORT));
     let report = |number| GatewayReport {
         address: address(number, 80).to_string(),
         zone: "north".to_owned(),
@@ -60,11 +61,11 @@
         staleness: Some(Duration::ZERO),
         ..FleetView::default()
     };
-    knowledge.apply(&view, Some(catalog()), NOW);
-    knowledge
+    state.apply(&view, Some(catalog()), NOW);
+    state
 }
 
-fn subject(number: u64) -> Prompt {
+fn sample_prompt(number: u64) -> Prompt {
     prompt(&[(number % 4, 2_500), (100 + number, 3_800), (10_000 + number, 2_900)])
 }
 
@@ -74,73 +75,74 @@
 }
 
 #[test]
-fn few_gateways_tell_each_other_and_ask_nobody() {
-    let mut knowledge = gateway(0, MAX_BROADCAST_PEERS + 1, 240);
-    with_request(&subject(1), |request| {
-        assert!(knowledge.shards_for(request, NOW).is_empty());
-        let choice = knowledge.choose(request, NOW).unwrap();
-        let (told, _) = knowledge.load_update(&choice, request, PromptEvent::Sent, NOW).unwrap();
-        assert_eq!(told.len(), MAX_BROADCAST_PEERS);
+fn few_gateways_broadcast_updates_and_choose_alone() {
+    let mut state = gateway(0, MAX_BROADCAST_PEERS + 1, 240);
+    with_request(&sample_prompt(1), |request| {
+        assert!(state.shards_for(request, NOW).is_empty());
+        let choice = state.choose(request, NOW).unwrap();
+        let (recipients, _) = state.load_update(&choice, request, PromptEvent::Sent, NOW).unwrap();
+        assert_eq!(recipients.len(), MAX_BROADCAST_PEERS);
     });
 }
 
 #[test]
-fn all_gateways_find_the_same_shards_and_coordinators() {
+fn all_gateways_derive_the_same_shards_and_coordinators() {
     let mut fleet: Vec<GatewayState> = (0..40).map(|number| gateway(number, 295, 240)).collect();
     for number in 0..50 {
-        let found: BTreeSet<_> = with_request(&subject(number), |request| {
-            let of = |one: &mut GatewayState| {
-                let shards = one.shards_for(request, NOW);
-                let first = one.gateways().coordinators("pool", shards[0], NOW);
+        let found: BTreeSet<_> = with_request(&sample_prompt(number), |request| {
+            let describe = |gateway: &mut GatewayState| {
+                let shards = gateway.shards_for(request, NOW);
+                let first = gateway.gateways().coordinators("pool", shards[0], NOW);
                 format!("{shards:?} {first:?}")
             };
-            fleet.iter_mut().map(of).collect()
+            fleet.iter_mut().map(describe).collect()
         });
         assert_eq!(found.len(), 1, "{found:?}");
     }
 }
 
-/// Prompts spread over shards as replicas do, and shards over gateways.
+/// Prompts are spread over the shards, and shards over the gateways.
 #[test]
-fn shards_share_the_prompts_and_gateways_share_the_shards() {
-    let mut knowledge = gateway(0, 295, 240);
+fn prompts_and_shards_are_spread_evenly() {
+    let mut state = gateway(0, 295, 240);
     let mut prompts: BTreeMap<u32, usize> = BTreeMap::new();
     let mut coordinators: BTreeSet<SocketAddr> = BTreeSet::new();
     for number in 0..2_400 {
-        let shard = with_request(&subject(number), |request| knowledge.shards_for(request, NOW)[0]);
+        let shard =
+            with_request(&sample_prompt(number), |request| state.shards_for(request, NOW)[0]);
         *prompts.entry(shard.index).or_default() += 1;
-        coordinators.extend(knowledge.gateways().coordinators("pool", shard, NOW));
+        coordinators.extend(state.gateways().coordinators("pool", shard, NOW));
     }
     assert_eq!(prompts.len(), 16);
     assert!(prompts.values().all(|count| (50..330).contains(count)), "{prompts:?}");
-    assert!(coordinators.len() >= 28, "few gateways coordinate: {}", coordinators.len());
+    assert!(coordinators.len() >= 28, "only {} gateways coordinate", coordinators.len());
 }
 
 #[test]
-fn a_replica_that_leaves_moves_only_its_own_prompts() {
+fn the_removal_of_a_replica_moves_only_its_own_prompts() {
     let (mut before, mut after) = (gateway(0, 295, 240), gateway(0, 295, 239));
     let moved = (0..1_000).filter(|number| {
-        with_request(&subject(*number), |request| {
+        with_request(&sample_prompt(*number), |request| {
             before.shards_for(request, NOW)[0] != after.shards_for(request, NOW)[0]
         })
     });
-    assert!(moved.count() < 15, "about one of 240 belongs to the one that left");
+    assert!(moved.count() < 15, "about 1/240 of the prompts belongs to the removed replica");
 }
 
 #[test]
-fn a_coordinator_that_does_not_answer_is_passed_over_for_a_while() {
+fn an_unresponsive_coordinator_is_skipped_for_a_while() {
     let mut gateways = GatewayList::default();
     gateways.set_own(address(0, PORT));
     gateways.set((1..40).map(|number| address(number, PORT)), NOW);
     let shard = Shard { index: 3, count: 16 };
     let ranked = gateways.coordinators("pool", shard, NOW);
     gateways.on_timeout(ranked[0], NOW);
-    let stand_in = gateways.coordinators("pool", shard, NOW);
-    assert_eq!(stand_in[0], ranked[1], "the second knew all that the first did");
+    let replacements = gateways.coordinators("pool", shard, NOW);
+    assert_eq!(replacements[0], ranked[1], "the second received the same updates as the first");
     assert_eq!(gateways.coordinators("pool", shard, NOW + Duration::from_secs(2)), ranked);
 }
 
-/// A new leader of the control group has heard of few gateways at first; prompts must not move for that.
+/// A new leader's list is incomplete at first; prompts must not move for that.
 #[test]
 fn a_short_list_moves_no_shard_at_once() {
     let mut gateways = GatewayList::default();
@@ -155,195 +157,227 @@
     assert_eq!(gateways.coordinators("pool", shard, soon), before);
     gateways.set(all().skip(1), soon + Duration::from_millis(500));
     let later = NOW + Duration::from_secs(4);
-    assert_eq!(gateways.others(later), all().skip(1).collect::<Vec<_>>(), "one has gone for good");
+    assert_eq!(
+        gateways.others(later),
+        all().skip(1).collect::<Vec<_>>(),
+        "one gateway was removed"
+    );
 }
 
-/// Each question without an answer costs the request the time that it waits.
+/// Each request without response delays the prompt.
 #[test]
-fn a_gateway_that_reaches_no_coordinator_decides_by_itself() {
-    let mut knowledge = gateway(0, 295, 240);
-    with_request(&subject(1), |request| {
-        let mut asked = 0;
-        while !knowledge.shards_for(request, NOW).is_empty() {
-            let shard = knowledge.shards_for(request, NOW)[0];
-            let first = knowledge.gateways().coordinators("pool", shard, NOW)[0];
-            knowledge.gateways().on_timeout(first, NOW);
-            asked += 1;
+fn a_gateway_without_coordinators_chooses_alone() {
+    let mut state = gateway(0, 295, 240);
+    with_request(&sample_prompt(1), |request| {
+        let mut timeouts = 0;
+        while !state.shards_for(request, NOW).is_empty() {
+            let shard = state.shards_for(request, NOW)[0];
+            let first = state.gateways().coordinators("pool", shard, NOW)[0];
+            state.gateways().on_timeout(first, NOW);
+            timeouts += 1;
         }
-        assert_eq!(asked, 4);
-        assert!(knowledge.choose(request, NOW).is_some());
+        assert_eq!(timeouts, 4);
+        assert!(state.choose(request, NOW).is_some());
         let later = NOW + Duration::from_millis(1_100);
-        assert!(!knowledge.shards_for(request, later).is_empty(), "it tries again");
-        knowledge.gateways().on_response();
-        assert!(!knowledge.shards_for(request, NOW).is_empty());
+        assert!(!state.shards_for(request, later).is_empty(), "it tries again");
+        state.gateways().on_response();
+        assert!(!state.shards_for(request, NOW).is_empty());
     });
 }
 
-/// A fleet whose gateways take one prompt each in turn, either by asking coordinators or each by what
-/// it knows; replicas serve at once and keep what they read. Returns the part of the prompts that went to
-/// a replica known to hold all that they share, and the most prompts at one replica over the mean.
-fn play(asks: bool) -> (f64, f64) {
+/// Simulates a fleet whose gateways receive prompts in turn, and either ask coordinators or choose
+/// alone; replicas serve at once and keep what they read. Returns the share of prompts that went to
+/// a replica with all their shared parts, and the maximum number of prompts at a replica over the
+/// mean.
+fn simulate(uses_coordinators: bool) -> (f64, f64) {
     const GATEWAYS: usize = 60;
     const REPLICAS: usize = 64;
     const PROMPTS: usize = 3_000;
     let mut fleet: Vec<GatewayState> =
         (0..GATEWAYS).map(|number| gateway(number, GATEWAYS, REPLICAS)).collect();
-    let mut prompts_at: BTreeMap<String, usize> = BTreeMap::new();
-    let mut known = 0;
-    for turn in 0..PROMPTS {
-        // Who gets a prompt does not depend on what it is about.
-        let asker = ((turn * 2_654_435_761) >> 16) % GATEWAYS;
-        let prompt = subject((turn as u64 * 7) % 300);
-        let now = NOW + Duration::from_millis(turn as u64);
+    let mut prompts_by_replica: BTreeMap<String, usize> = BTreeMap::new();
+    let mut cached = 0;
+    for index in 0..PROMPTS {
+        // The receiving gateway does not depend on the prompt.
+        let requester = ((index * 2_654_435_761) >> 16) % GATEWAYS;
+        let prompt = sample_prompt((index as u64 * 7) % 300);
+        let now = NOW + Duration::from_millis(index as u64);
         with_request(&prompt, |request| {
-            let choice = match asks {
-                true => ask(&mut fleet, asker, request, now),
-                false => fleet[asker].choose(request, now).unwrap(),
+            let choice = match uses_coordinators {
+                true => place_by_coordinator(&mut fleet, requester, request, now),
+                false => fleet[requester].choose(request, now).unwrap(),
             };
-            *prompts_at.entry(choice.instance.id.clone()).or_default() += 1;
-            known += usize::from(choice.known_tokens == prompt.shared_tokens());
-            serve(&mut fleet, asker, &choice, request, now);
+            *prompts_by_replica.entry(choice.instance.id.clone()).or_default() += 1;
+            cached += usize::from(choice.known_tokens == prompt.shared_tokens());
+            serve(&mut fleet, requester, &choice, request, now);
         });
     }
-    let most = *prompts_at.values().max().unwrap() as f64;
-    (known as f64 / PROMPTS as f64, most * REPLICAS as f64 / PROMPTS as f64)
+    let max_at_replica = *prompts_by_replica.values().max().unwrap() as f64;
+    (cached as f64 / PROMPTS as f64, max_at_replica * REPLICAS as f64 / PROMPTS as f64)
 }
 
-fn ask(fleet: &mut [GatewayState], asker: usize, request: &ChoiceRequest<'_>, now: Time) -> Choice {
-    let shard = fleet[asker].shards_for(request, NOW)[0];
-    let coordinator = fleet[asker].gateways().coordinators("pool", shard, now)[0];
-    let question = PlacementRequest::new(request, shard, &[]).unwrap();
-    let offer = fleet[number_of(coordinator)].place(&question, now).unwrap();
-    fleet[asker].accept_offer(&offer, request, NOW).unwrap()
+fn place_by_coordinator(
+    fleet: &mut [GatewayState],
+    requester: usize,
+    request: &ChoiceRequest<'_>,
+    now: Time,
+) -> Choice {
+    let shard = fleet[requester].shards_for(request, NOW)[0];
+    let coordinator = fleet[requester].gateways().coordinators("pool", shard, now)[0];
+    let request_to_coordinator = PlacementRequest::new(request, shard, &[]).unwrap();
+    let offer = fleet[gateway_index(coordinator)].place(&request_to_coordinator, now).unwrap();
+    fleet[requester].accept_offer(&offer, request, NOW).unwrap()
 }
 
-fn number_of(address: SocketAddr) -> usize {
+fn gateway_index(address: SocketAddr) -> usize {
     let std::net::IpAddr::V4(ip) = address.ip() else { unreachable!() };
     usize::from(ip.octets()[2]) * 250 + usize::from(ip.octets()[3])
 }
 
-/// Serves a prompt at its choice at once, and tells who should be told.
+/// Serves a prompt at its choice at once, and sends the load updates.
 fn serve(
     fleet: &mut [GatewayState],
-    asker: usize,
+    requester: usize,
     choice: &Choice,
     request: &ChoiceRequest<'_>,
     now: Time,
 ) {
-    fleet[asker].balancer().on_sent(choice, request, now);
-    let sent = fleet[asker].load_update(choice, request, PromptEvent::Sent, now);
-    fleet[asker].on_first_token(choice, request, Duration::from_millis(80), now);
-    let read = fleet[asker].load_update(choice, request, PromptEvent::Prefilled, now);
-    fleet[asker].balancer().on_ended(choice, true);
-    let ended = fleet[asker].end_update(choice, PromptEvent::Ended, now);
-    for news in [sent, read, ended] {
-        tell(fleet, asker, news, now);
+    fleet[requester].balancer().on_sent(choice, request, now);
+    let sent = fleet[requester].load_update(choice, request, PromptEvent::Sent, now);
+    fleet[requester].on_first_token(choice, request, Duration::from_millis(80), now);
+    let read = fleet[requester].load_update(choice, request, PromptEvent::Prefilled, now);
+    fleet[requester].balancer().on_ended(choice, true);
+    let ended = fleet[requester].end_update(choice, PromptEvent::Ended, now);
+    for update in [sent, read, ended] {
+        deliver(fleet, requester, update, now);
     }
 }
 
-fn tell(
+fn deliver(
     fleet: &mut [GatewayState],
     from: usize,
-    news: Option<(Vec<SocketAddr>, LoadUpdate)>,
+    update: Option<(Vec<SocketAddr>, LoadUpdate)>,
     now: Time,
 ) {
-    let (told, news) = news.expect("there is something to tell");
-    let news = LoadUpdate { node: from as u64, ..news };
-    for address in told {
-        fleet[number_of(address)].balancer().apply_load_update(&news, now);
+    let (recipients, update) = update.expect("there is an update to send");
+    let update = LoadUpdate { node: from as u64, ..update };
+    for address in recipients {
+        fleet[gateway_index(address)].balancer().apply_load_update(&update, now);
     }
 }
 
-/// Before, each gateway by what it saw itself: 0.06 of the prompts go where all that they share is known to
-/// be. After, by asking: 0.9, all but the first of each of the 300 subjects. The busiest replica has 2.2
-/// and 1.9 times the mean.
+/// Coordinators place prompts where their shared parts are cached, and keep the replicas evenly
+/// loaded.
 #[test]
-fn asking_coordinators_keeps_parts_together_and_replicas_even() {
-    let (alone, asked) = (play(false), play(true));
-    assert!(asked.0 >= 0.89, "known to be held: {} alone, {} asked", alone.0, asked.0);
-    assert!(alone.0 < 0.5 * asked.0, "known to be held: {} alone, {} asked", alone.0, asked.0);
-    assert!(asked.1 <= alone.1, "busiest over mean: {} alone, {} asked", alone.1, asked.1);
-    assert!(asked.1 < 2.1, "busiest over mean: {} asked", asked.1);
+fn coordinators_improve_cache_hits_and_balance() {
+    let (without, with) = (simulate(false), simulate(true));
+    assert!(
+        with.0 >= 0.89,
+        "share with cached parts: {} without coordinators, {} with",
+        without.0,
+        with.0
+    );
+    assert!(
+        without.0 < 0.5 * with.0,
+        "share with cached parts: {} without coordinators, {} with",
+        without.0,
+        with.0
+    );
+    assert!(
+        with.1 <= without.1,
+        "busiest replica over mean: {} without coordinators, {} with",
+        without.1,
+        with.1
+    );
+    assert!(with.1 < 2.1, "busiest replica over mean: {} with coordinators", with.1);
 }
 
-/// A replica that fails one gateway's prompt is passed over by the coordinator, who serves all.
+/// A replica that failed for one gateway is avoided by the coordinator for all.
 #[test]
-fn a_coordinator_is_told_of_failures_elsewhere() {
+fn a_coordinator_learns_of_failures_at_other_gateways() {
     let mut fleet: Vec<GatewayState> = (0..40).map(|number| gateway(number, 40, 64)).collect();
-    with_request(&subject(1), |request| {
-        let first = ask(&mut fleet, 0, request, NOW);
+    with_request(&sample_prompt(1), |request| {
+        let first = place_by_coordinator(&mut fleet, 0, request, NOW);
         fleet[0].balancer().on_sent(&first, request, NOW);
         fleet[0].balancer().on_ended(&first, false);
-        let news = fleet[0].end_update(&first, PromptEvent::Failed, NOW);
-        tell(&mut fleet, 0, news, NOW);
-        assert_ne!(ask(&mut fleet, 5, request, NOW).instance.id, first.instance.id);
+        let update = fleet[0].end_update(&first, PromptEvent::Failed, NOW);
+        deliver(&mut fleet, 0, update, NOW);
+        assert_ne!(
+            place_by_coordinator(&mut fleet, 5, request, NOW).instance.id,
+            first.instance.id
+        );
         let later = NOW + Duration::from_secs(1);
-        assert_eq!(ask(&mut fleet, 5, request, later).instance.id, first.instance.id);
+        assert_eq!(
+            place_by_coordinator(&mut fleet, 5, request, later).instance.id,
+            first.instance.id
+        );
     });
 }
 
-/// One hot prompt must not be held to a shard that has no room for it.
+/// A popular prompt must not stay in a shard without capacity.
 #[test]
-fn a_prompt_goes_to_a_further_shard_when_its_own_is_full() {
-    let mut knowledge = gateway(0, 40, 64);
-    with_request(&subject(1), |request| {
-        let shards = knowledge.shards_for(request, NOW);
+fn a_prompt_goes_to_a_further_shard_when_its_own_is_overloaded() {
+    let mut state = gateway(0, 40, 64);
+    with_request(&sample_prompt(1), |request| {
+        let shards = state.shards_for(request, NOW);
         let mut last = None;
         for _ in 0..200 {
-            let choice = knowledge.choose_in_shard(request, Some(shards[0]), NOW).unwrap();
-            knowledge.balancer().on_sent(&choice, request, NOW);
+            let choice = state.choose_in_shard(request, Some(shards[0]), NOW).unwrap();
+            state.balancer().on_sent(&choice, request, NOW);
             last = Some(choice);
         }
-        assert!(knowledge.is_overloaded(&last.unwrap(), request));
-        let elsewhere = knowledge.choose_in_shard(request, Some(shards[1]), NOW).unwrap();
-        assert!(!knowledge.is_overloaded(&elsewhere, request));
+        assert!(state.is_overloaded(&last.unwrap(), request));
+        let elsewhere = state.choose_in_shard(request, Some(shards[1]), NOW).unwrap();
+        assert!(!state.is_overloaded(&elsewhere, request));
         assert_ne!(shards[0], shards[1]);
     });
 }
 
-/// What the coordinator believes may be older than what the asking gateway knows.
+/// The coordinator's records may be older than those of the asking gateway.
 #[test]
-fn an_offer_for_older_weights_brings_no_memory_of_theirs() {
+fn an_offer_for_an_older_version_has_no_cache_source() {
     let mut fleet: Vec<GatewayState> = (0..40).map(|number| gateway(number, 40, 64)).collect();
-    with_request(&subject(1), |request| {
+    with_request(&sample_prompt(1), |request| {
         let shard = fleet[0].shards_for(request, NOW)[0];
-        let question = PlacementRequest::new(request, shard, &[]).unwrap();
-        let mut offer = fleet[1].place(&question, NOW).unwrap();
+        let request_to_coordinator = PlacementRequest::new(request, shard, &[]).unwrap();
+        let mut offer = fleet[1].place(&request_to_coordinator, NOW).unwrap();
         offer.source = Some("10.9.9.9:1".to_owned());
         let same = fleet[0].accept_offer(&offer, request, NOW).unwrap();
         assert_eq!((same.version, same.source.is_some()), (Some(1), true));
         fleet[0].balancer().record_version(&same, "model", 2);
         let newer = fleet[0].accept_offer(&offer, request, NOW).unwrap();
         assert_eq!((newer.version, newer.source), (Some(2), None));
-        let exclude = [newer.instance.id.clone()];
-        let request = ChoiceRequest { tried: &exclude, ..*request };
+        let tried = [newer.instance.id.clone()];
+        let request = ChoiceRequest { tried: &tried, ..*request };
         assert!(fleet[0].accept_offer(&offer, &request, NOW).is_none(), "it was tried already");
     });
 }
 
-/// A coordinator hears nothing of what a replica asked of the gateway that asks: the question says whom not to name.
+/// Coordinators don't know of pushback to other gateways, so the request lists the replicas to
+/// skip.
 #[test]
-fn a_coordinator_names_no_replica_that_rests_or_leaves_for_the_asking_gateway() {
-    let rest = Pushback { rest: Some(Duration::from_secs(3)), ..Pushback::default() };
+fn a_coordinator_offers_no_replica_that_pushed_back_the_asking_gateway() {
+    let backoff = Pushback { rest: Some(Duration::from_secs(3)), ..Pushback::default() };
     let leaving = Pushback { is_leaving: true, ..Pushback::default() };
-    for said in [rest, leaving] {
+    for pushback in [backoff, leaving] {
         let mut fleet: Vec<GatewayState> = (0..60).map(|number| gateway(number, 60, 64)).collect();
-        with_request(&subject(7), |request| {
-            let first = ask(&mut fleet, 17, request, NOW);
-            fleet[17].balancer().record_pushback(&first, said, NOW);
+        with_request(&sample_prompt(7), |request| {
+            let first = place_by_coordinator(&mut fleet, 17, request, NOW);
+            fleet[17].balancer().record_pushback(&first, pushback, NOW);
             let shard = fleet[17].shards_for(request, NOW)[0];
             let coordinator = fleet[17].gateways().coordinators("pool", shard, NOW)[0];
-            let question = fleet[17].placement_request(request, shard, NOW).unwrap();
-            let offer = fleet[number_of(coordinator)].place(&question, NOW).unwrap();
+            let request_to_coordinator = fleet[17].placement_request(request, shard, NOW).unwrap();
+            let offer =
+                fleet[gateway_index(coordinator)].place(&request_to_coordinator, NOW).unwrap();
             let second = fleet[17].accept_offer(&offer, request, NOW).unwrap();
             assert_ne!(second.instance.id, first.instance.id);
             assert_eq!(
-                question.skipped.len(),
+                request_to_coordinator.skipped.len(),
                 1,
-                "a question grows by what the shard's replicas asked alone"
+                "only replicas of the shard that pushed back are listed"
             );
             let other = fleet[18].placement_request(request, shard, NOW).unwrap();
-            assert!(other.skipped.is_empty(), "it was not asked of another gateway");
+            assert!(other.skipped.is_empty(), "other gateways did not receive the pushback");
         });
     }
 }
