--- a/crates/topazmount/tests/gateway_datagrams.rs
+++ b/crates/topazmount/tests/gateway_datagrams.rs
@@ -64,9 +64,9 @@
 #[test]
 fn limit_updates_have_their_recorded_encoding() {
     let limit = Some(RequestLimit::per_second(2.5));
-    let news = LimitUpdate { replica: 0x2122_2324, limit, age: Duration::new(1, 250) };
-    check("limit", &news);
-    check("no_limit", &LimitUpdate { limit: None, ..news });
+    let update = LimitUpdate { replica: 0x2122_2324, limit, age: Duration::new(1, 250) };
+    check("limit", &update);
+    check("no_limit", &LimitUpdate { limit: None, ..update });
 }
 
 #[test]
@@ -79,7 +79,7 @@
 
 #[test]
 fn choices_have_their_recorded_encoding() {
-    let question = PlacementRequest {
+    let request = PlacementRequest {
         shard: Shard { index: 3, count: 8 },
         service: "pool".to_owned(),
         tenant: 5,
@@ -91,10 +91,10 @@
         isolated_tenant: Some("tenant".to_owned()),
         skipped: vec![9, 10],
     };
-    check("question", &question);
+    check("question", &request);
     let bare =
-        PlacementRequest { model: None, isolated_tenant: None, skipped: Vec::new(), ..question };
-    check("bare_question", &bare);
+        PlacementRequest { model: None, isolated_tenant: None, skipped: Vec::new(), ..request };
+    check("bare_question", &bare_request);
     let offer = PlacementOffer {
         replica: 11,
         expected_prefill: 12,
