--- a/crates/gateway/tests/incarnations.rs
+++ b/crates/gateway/tests/incarnations.rs
@@ -86,8 +86,8 @@
     assert_eq!((choice.version, choice.known_tokens), (Some(2), 0));
     assert_eq!((choice.slot_utilization, choice.has_empty_queue), (0.0, true));
     // A replica that failed lately would be avoided.
-    let is_chosen = |subject: u64| {
-        let prompt = prompt(&[(5_000 + subject, 500), (6_000 + subject, 100)]);
+    let is_chosen = |number: u64| {
+        let prompt = prompt(&[(5_000 + number, 500), (6_000 + number, 100)]);
         choose(&mut balancer, &prompt, &[]).unwrap().instance.id == "i-0"
     };
     assert!((0..40).any(is_chosen), "it is avoided");
@@ -212,8 +212,8 @@
     let (mut balancer, earlier) = restarted_replica();
     let other = choose(&mut balancer, &earlier.prompt, &[incarnation_name("i-0", NEXT)]).unwrap();
     balancer.on_sent(&other, &choice_request(&earlier.prompt, None), NOW);
-    let like = choose(&mut balancer, &earlier.prompt, &[incarnation_name("i-0", NEXT)]).unwrap();
-    assert_eq!(like.known_tokens, 6_300);
+    let similar = choose(&mut balancer, &earlier.prompt, &[incarnation_name("i-0", NEXT)]).unwrap();
+    assert_eq!(similar.known_tokens, 6_300);
 }
 
 /// A new incarnation of a tried replica may be tried, as it does not know the request.
@@ -222,9 +222,8 @@
     let (mut balancer, earlier) = restarted_replica();
     let tried = [earlier.choice.instance.incarnation_name(), incarnation_name("i-1", FIRST)];
     assert_eq!(choose(&mut balancer, &earlier.prompt, &tried).unwrap().instance.start, NEXT);
-    let held_to = &tried[0];
-    let request =
-        ChoiceRequest { pinned_to: Some(held_to), ..choice_request(&earlier.prompt, None) };
+    let ended = &tried[0];
+    let request = ChoiceRequest { pinned_to: Some(ended), ..choice_request(&earlier.prompt, None) };
     assert_eq!(balancer.choose(&request, NOW, &mut PolicyTable::default()), None);
 }
 
