--- a/crates/topazmount/tests/gateway_datagrams.rs
+++ b/crates/topazmount/tests/gateway_datagrams.rs
@@ -92,7 +92,7 @@
         skipped: vec![9, 10],
     };
     check("question", &request);
-    let bare =
+    let bare_request =
         PlacementRequest { model: None, isolated_tenant: None, skipped: Vec::new(), ..request };
     check("bare_question", &bare_request);
     let offer = PlacementOffer {
