--- a/crates/control/src/standing.rs
+++ b/crates/control/src/standing.rs
@@ -2,9 +2,9 @@
 
 use crate::events::MembershipEvent;
 use crate::member::{Member, MemberOutput};
-use crate::protocol::{JoinAnswer, MemberStatus, Request, Response};
+use crate::protocol::{JoinResponse, MemberStatus, Request, Response};
 use std::time::Duration;
-use topazmount_consensus::{Disk, MemberId, MemberInfo, Membership, Role, Standing};
+use topazmount_consensus::{Disk, MemberId, MemberInfo, Membership, MembershipStatus, Role};
 use topazmount_types::Time;
 
 /// Silence of all leaders after which a member asks whether it still is one.
@@ -16,7 +16,7 @@
 #[derive(Default)]
 pub(crate) struct Noted {
     membership: Membership,
-    standing: Standing,
+    standing: MembershipStatus,
     /// When the standing began.
     since: Time,
     /// When the membership began.
@@ -34,7 +34,7 @@
     /// Whether this process must ask to join: it never did, or it was away so long that it may
     /// have been removed, of which a removed member is not told.
     pub(crate) fn must_join(&self, now: Time) -> bool {
-        self.is_outside() || self.replica.leader_silence(now) > REJOIN_SILENCE
+        self.is_outside() || self.replica.time_since_leader(now) > REJOIN_SILENCE
     }
 
     /// Seeds in use.
@@ -67,7 +67,7 @@
     }
 
     pub(crate) fn note(&mut self, event: MembershipEvent) {
-        self.outputs.push(MemberOutput::Note(event));
+        self.outputs.push(MemberOutput::Membership(event));
     }
 
     pub(crate) fn note_membership(&mut self, now: Time) {
@@ -76,14 +76,14 @@
             return;
         }
         let membership = membership.clone();
-        let standing = membership.standing(self.replica.id());
+        let standing = membership.status(self.replica.id());
         if standing != self.noted.standing {
             self.noted.since = now;
         }
         self.noted.standing = standing;
         self.noted.changed_at = now;
         self.noted.membership = membership.clone();
-        self.note(MembershipEvent::InForce { membership, standing });
+        self.note(MembershipEvent::Changed { membership, standing });
     }
 
     /// Asks to join where that is due.
@@ -94,7 +94,7 @@
         let (id, info) = (self.replica.id(), &self.settings.info);
         for address in self.joining.due(now, &info.address, self.member_addresses()) {
             let request = Request::Join(id, info.clone());
-            self.outputs.push(MemberOutput::Ask(address, request));
+            self.outputs.push(MemberOutput::RequestJoin(address, request));
         }
     }
 
@@ -104,11 +104,11 @@
             Some(Response::Joining(answer)) => Some(answer),
             // From a member of an older version.
             Some(Response::NotLeader(leader)) => {
-                Some(JoinAnswer::AskElsewhere { leader, members: Vec::new() })
+                Some(JoinResponse::Redirect { leader, members: Vec::new() })
             }
             Some(_) | None => None,
         };
-        self.note(MembershipEvent::JoinAnswered { member, answer });
+        self.note(MembershipEvent::JoinResponse { member, response: answer });
     }
 
     /// Another member that leads: the one that this member follows, or, outside the group, the one
@@ -121,7 +121,7 @@
     }
 
     pub(crate) fn status(&mut self, now: Time) -> MemberStatus {
-        self.nodes.retain(|_, report| now < report.heard_at + NODE_REPORT_RETENTION);
+        self.nodes.retain(|_, report| now < report.received_at + NODE_REPORT_RETENTION);
         let answering = match self.replica.role() {
             Role::Leader => self.answering(now),
             _ => Vec::new(),
@@ -139,13 +139,13 @@
             now,
             standing: self.noted.standing,
             standing_for: now.since(self.noted.since),
-            answering,
+            responding: answering,
         }
     }
 
     fn answering(&self, now: Time) -> Vec<MemberId> {
         let membership = self.replica.membership();
         let all = membership.voters.keys().chain(membership.learners.keys());
-        all.copied().filter(|id| self.replica.is_answering(*id, now)).collect()
+        all.copied().filter(|id| self.replica.is_responsive(*id, now)).collect()
     }
 }
--- a/crates/gateway/tests/request_limits.rs
+++ b/crates/gateway/tests/request_limits.rs
@@ -11,7 +11,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 use topazmount_admission::{LimitChange, RequestLimit, RequestLimits};
-use topazmount_gateway::{GrantAnswer, Granting, LimitNews};
+use topazmount_gateway::{GrantResponse, Granter, LimitUpdate};
 use topazmount_types::{Start, Time};
 
 const REPLICA: u64 = 0x7265_706c;
@@ -87,9 +87,10 @@
             if self.told_at[from].is_some_and(|told| told + TOLD <= at) {
                 self.arrivals.push(at);
             }
-            let news = LimitNews { replica: REPLICA, limit: Some(self.limit), age: Duration::ZERO };
+            let news =
+                LimitUpdate { replica: REPLICA, limit: Some(self.limit), age: Duration::ZERO };
             let Some(gateway) = self.world.gateways[from].as_mut() else { continue };
-            gateway.knowledge.told_limit(&news, now);
+            gateway.knowledge.apply_limit_update(&news, now);
             self.told_at[from] = self.told_at[from].or(Some(now));
         }
     }
@@ -115,13 +116,13 @@
         if self.told_at[number].is_none() {
             return self.world.rng.random_bool(0.1);
         }
-        let asked = LimitNews { replica: REPLICA, limit: Some(self.limit), age: Duration::ZERO };
-        let granter = match asker.knowledge.granting_send(REPLICA, now) {
+        let asked = LimitUpdate { replica: REPLICA, limit: Some(self.limit), age: Duration::ZERO };
+        let granter = match asker.knowledge.send_granter(REPLICA, now) {
             None => return false,
-            Some(Granting::Own) => {
-                return asker.knowledge.grant_send(&asked, now) == GrantAnswer::Granted;
+            Some(Granter::Local) => {
+                return asker.knowledge.grant_send(&asked, now) == GrantResponse::Granted;
             }
-            Some(Granting::Other(granter)) => granter,
+            Some(Granter::Remote(granter)) => granter,
         };
         let Some(other) = (0..self.told_at.len()).find(|one| address(*one) == granter) else {
             return false;
@@ -133,9 +134,9 @@
         if answer.is_none()
             && let Some(asker) = self.world.gateways[number].as_mut()
         {
-            asker.knowledge.note_silent_send_granter(granter, now);
+            asker.knowledge.on_send_granter_timeout(granter, now);
         }
-        answer == Some(GrantAnswer::Granted)
+        answer == Some(GrantResponse::Granted)
     }
 
     fn most_in_window(&self, from: Time) -> usize {
@@ -219,12 +220,12 @@
     let mut world = World::new(12, 3);
     world.pass(Duration::from_secs(9), |_| {});
     let now = world.now;
-    let news = LimitNews { replica: REPLICA, limit: limit(1.0), age: Duration::ZERO };
+    let news = LimitUpdate { replica: REPLICA, limit: limit(1.0), age: Duration::ZERO };
     let mut told = Vec::new();
     for number in 0..12 {
         let knowledge = &mut world.gateways[number].as_mut().unwrap().knowledge;
-        let to = knowledge.told_of_limit(REPLICA, now);
-        let is_granter = knowledge.granting_send(REPLICA, now) == Some(Granting::Own);
+        let to = knowledge.limit_update_recipients(REPLICA, now);
+        let is_granter = knowledge.send_granter(REPLICA, now) == Some(Granter::Local);
         assert_eq!(to.len(), if is_granter { 11 } else { 1 });
         told.extend(to.into_iter().filter(|_| !is_granter));
     }
@@ -232,8 +233,8 @@
     let granter = (0..12).find(|number| address(*number) == told[0]).unwrap();
     assert_eq!(told.len(), 1, "one grants");
     let knowledge = &mut world.gateways[granter].as_mut().unwrap().knowledge;
-    assert_eq!(knowledge.told_limit(&news, now).len(), 11);
-    assert!(knowledge.told_limit(&news, now).is_empty(), "it is no news any more");
+    assert_eq!(knowledge.apply_limit_update(&news, now).len(), 11);
+    assert!(knowledge.apply_limit_update(&news, now).is_empty(), "it is no news any more");
 }
 
 const NOW: Time = Time::from_secs(1_000);
@@ -261,7 +262,7 @@
     let mut limits = RequestLimits::default();
     for (said, sent, came) in answers {
         let said = said.map(RequestLimit::per_second);
-        limits.hear(REPLICA, said, NOW + millis(*sent), NOW + millis(*came));
+        limits.record(REPLICA, said, NOW + millis(*sent), NOW + millis(*came));
     }
     assert_eq!(limits.limit(REPLICA), last.and_then(limit));
 }
@@ -269,22 +270,22 @@
 #[test]
 fn only_changes_are_news() {
     let mut limits = RequestLimits::default();
-    let named = |per_second| limit(per_second).map(LimitChange::Named);
-    assert_eq!(limits.hear(REPLICA, limit(1.0), NOW, NOW + millis(1)), named(1.0));
-    assert_eq!(limits.hear(REPLICA, limit(1.0), NOW + millis(2), NOW + millis(3)), None);
-    assert_eq!(limits.hear(REPLICA, limit(2.0), NOW + millis(4), NOW + millis(5)), named(2.0));
-    let ended = limits.hear(REPLICA, None, NOW + millis(6), NOW + millis(7));
-    assert_eq!(ended, Some(LimitChange::Ended));
+    let named = |per_second| limit(per_second).map(LimitChange::Set);
+    assert_eq!(limits.record(REPLICA, limit(1.0), NOW, NOW + millis(1)), named(1.0));
+    assert_eq!(limits.record(REPLICA, limit(1.0), NOW + millis(2), NOW + millis(3)), None);
+    assert_eq!(limits.record(REPLICA, limit(2.0), NOW + millis(4), NOW + millis(5)), named(2.0));
+    let ended = limits.record(REPLICA, None, NOW + millis(6), NOW + millis(7));
+    assert_eq!(ended, Some(LimitChange::Removed));
 }
 
 /// Word of other gateways may be older than what this one heard itself.
 #[test]
 fn older_word_of_others_changes_nothing() {
     let mut limits = RequestLimits::default();
-    limits.hear(REPLICA, limit(1.0), NOW, NOW + millis(100));
-    limits.told(REPLICA, limit(5.0), NOW + millis(50));
+    limits.record(REPLICA, limit(1.0), NOW, NOW + millis(100));
+    limits.record_update(REPLICA, limit(5.0), NOW + millis(50));
     assert_eq!(limits.limit(REPLICA), limit(1.0));
-    limits.told(REPLICA, None, NOW + millis(150));
+    limits.record_update(REPLICA, None, NOW + millis(150));
     assert_eq!(limits.limit(REPLICA), None);
 }
 
@@ -295,9 +296,9 @@
 #[case::after(300, false)]
 fn a_limit_ends_with_its_incarnation(#[case] starts_after: i64, #[case] is_the_next_s: bool) {
     let mut limits = RequestLimits::default();
-    limits.hear(REPLICA, limit(1.0), NOW, NOW);
+    limits.record(REPLICA, limit(1.0), NOW, NOW);
     let start = Start(1_000_000u64.checked_add_signed(starts_after).unwrap());
-    limits.replaced(REPLICA, REPLICA + 1, start);
+    limits.on_replaced(REPLICA, REPLICA + 1, start);
     assert_eq!(limits.limit(REPLICA), None);
     assert_eq!(limits.limit(REPLICA + 1).is_some(), is_the_next_s);
 }
--- a/crates/topazmount/src/control_links.rs
+++ b/crates/topazmount/src/control_links.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use topazmount_consensus::Envelope;
 use topazmount_control::{Frame, MemberInput, Response, RolloutEvent, Token};
-use topazmount_wire::{ClusterKey, Form};
+use topazmount_wire::{ClusterKey, ProtocolVersion};
 
 /// Messages that wait for a peer; older ones are resent by the log anyway.
 const PEER_QUEUE: usize = 256;
@@ -210,8 +210,8 @@
             return;
         }
     };
-    if reader.form() < Form::NEWEST {
-        log::info!("link: event=older_form peer={peer} form={:?}", reader.form());
+    if reader.form() < ProtocolVersion::LATEST {
+        log::info!("link: event=older_form peer={peer} form={}", reader.form().name());
     }
     let (answers, queue) = async_channel::bounded(ANSWER_QUEUE);
     let _writing = executor.spawn(write_answers(writer, queue, shared.meter.clone()));
@@ -243,14 +243,14 @@
         let input = match frame {
             Frame::Peer(address, envelope) => {
                 // Where the queue is full there are other answers to hear.
-                let _ = answers.try_send(Frame::Heard);
+                let _ = answers.try_send(Frame::Ack);
                 MemberInput::Peer(address, envelope)
             }
             Frame::Request(number, request) => {
                 let requester = Requester::Connection { answers: answers.clone(), number };
                 MemberInput::Request(shared.add(requester), request)
             }
-            Frame::Response(..) | Frame::Heard => {
+            Frame::Response(..) | Frame::Ack => {
                 return eyre::eyre!("an answer to nothing that was asked");
             }
         };
--- a/crates/topazmount/src/fleet/exchange/answers.rs
+++ b/crates/topazmount/src/fleet/exchange/answers.rs
@@ -62,8 +62,8 @@
             return Some(usual);
         }
         let now = self.shared.clock.now();
-        let request = ChoiceRequest { exclude: &[], held_to: None, ..self.choice_request(plan) };
-        let rested = self.shared.knowledge.lock().unwrap().retry_after_rest(&request, now);
+        let request = ChoiceRequest { tried: &[], pinned_to: None, ..self.choice_request(plan) };
+        let rested = self.shared.knowledge.lock().unwrap().retry_after_pushback(&request, now);
         Some(rested.unwrap_or(usual))
     }
 
@@ -88,7 +88,7 @@
         retry_after: Option<Duration>,
     ) -> Ending {
         self.log_end(plan, kind.status(), kind.name());
-        let answer = self.shared.dialect.refusal(kind, retry_after);
+        let answer = self.shared.dialect.error_response(kind, retry_after);
         let bytes = own_answer(&answer, self.head, self.keeps_alive);
         match self.client.write_all(&bytes).await {
             Ok(()) => Ending::Whole,
--- a/crates/topazmount/src/fleet/exchange/pushback.rs
+++ b/crates/topazmount/src/fleet/exchange/pushback.rs
@@ -1,6 +1,6 @@
 //! What replicas' answers ask of this gateway.
 
-use super::super::dialect::AnswerTags;
+use super::super::dialect::ResponseMetadata;
 use super::Exchange;
 use std::time::Duration;
 use topazmount_admission::{LimitChange, RequestLimit};
@@ -13,13 +13,13 @@
     pub(super) fn note_pushback(
         &self,
         choice: &Choice,
-        tags: &AnswerTags,
+        tags: &ResponseMetadata,
         status: u16,
         sent_at: Time,
     ) {
         self.note_limit(choice, tags, sent_at);
         let asked = tags.pushback;
-        let asks = asked.asks() || asked.unreadable.is_some();
+        let asks = asked.is_requested() || asked.invalid_field.is_some();
         let is_other = tags.instance.as_ref().is_some_and(|id| *id != choice.instance.id);
         if is_other || !(asks || tags.is_not_run) {
             return;
@@ -27,16 +27,16 @@
         let now = self.shared.clock.now();
         let heard = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().hear_pushback(choice, asked, now)
+            knowledge.balancer().record_pushback(choice, asked, now)
         };
         if let Some(heard) = heard {
-            self.shared.metrics.rest(&self.admission.service, heard.adds);
+            self.shared.metrics.rest(&self.admission.service, heard.added);
         }
-        if heard.is_some_and(|heard| heard.leaves) {
+        if heard.is_some_and(|heard| heard.is_leaving) {
             self.shared.pool.close(&choice.instance.incarnation_name());
         }
         // A replica that leaves says so in each answer; what is known already is no news.
-        if heard.is_none() && asked.unreadable.is_none() && !tags.is_not_run {
+        if heard.is_none() && asked.invalid_field.is_none() && !tags.is_not_run {
             return;
         }
         let millis = |rest: Option<Duration>| {
@@ -51,10 +51,10 @@
                 choice.instance.id,
                 choice.instance.start,
                 tags.is_not_run,
-                millis(asked.rest),
+                millis(asked.backoff),
                 asked.is_leaving,
-                asked.unreadable.unwrap_or("none"),
-                millis(heard.and_then(|heard| heard.rests_for))
+                asked.invalid_field.unwrap_or("none"),
+                millis(heard.and_then(|heard| heard.backoff))
             )
         });
     }
@@ -62,19 +62,19 @@
     /// Other gateways learn of a changed limit before they send much.
     fn tell_limit(&self, choice: &Choice, now: Time) {
         let mut knowledge = self.shared.knowledge.lock().unwrap();
-        let Some(news) = knowledge.limit_news(choice, now) else { return };
-        let to = knowledge.told_of_limit(news.replica, now);
+        let Some(news) = knowledge.limit_update(choice, now) else { return };
+        let to = knowledge.limit_update_recipients(news.replica, now);
         drop(knowledge);
         self.shared.peers.tell_limit(to, news);
     }
 
     /// Notes the limit that an answer names, or that it names none. A value that can't be read says neither.
-    fn note_limit(&self, choice: &Choice, tags: &AnswerTags, sent_at: Time) {
+    fn note_limit(&self, choice: &Choice, tags: &ResponseMetadata, sent_at: Time) {
         let limit = tags.pushback.limit;
         let is_of_replica = tags.is_sealed || tags.is_not_run;
         let is_other = tags.instance.as_ref().is_some_and(|id| *id != choice.instance.id);
-        let says_none = limit.is_none() && is_of_replica && tags.pushback.unreadable.is_none();
-        if is_other || tags.is_unexpected || !(limit.is_some() || says_none) {
+        let says_none = limit.is_none() && is_of_replica && tags.pushback.invalid_field.is_none();
+        if is_other || tags.is_misdirected || !(limit.is_some() || says_none) {
             return;
         }
         // A late answer to an earlier request says nothing of what holds since.
@@ -83,13 +83,13 @@
         let now = self.shared.clock.now();
         let change = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().hear_limit(choice, limit, sent_at, now)
+            knowledge.balancer().record_limit(choice, limit, sent_at, now)
         };
         let Some(change) = change else { return };
         self.tell_limit(choice, now);
         let (event, limit) = match change {
-            LimitChange::Named(limit) => ("limit_named", Some(limit)),
-            LimitChange::Ended => ("limit_ended", None),
+            LimitChange::Set(limit) => ("limit_named", Some(limit)),
+            LimitChange::Removed => ("limit_ended", None),
         };
         self.shared.metrics.event(event);
         self.shared.journal.line(|| {
--- a/crates/topazmount/src/fleet/store_reader.rs
+++ b/crates/topazmount/src/fleet/store_reader.rs
@@ -8,7 +8,7 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::time::Duration;
-use topazmount_admission::{Pushback, Pushbacks};
+use topazmount_admission::{Pushback, PushbackRecords};
 use topazmount_gateway::StoreKey;
 
 /// How often the list of stores is looked at.
@@ -51,17 +51,17 @@
         Err(error) => return log::error!("gateway: event=store_refused error={error:#}"),
     };
     let name = caller.address().to_string();
-    let mut asked = Pushbacks::default();
+    let mut asked = PushbackRecords::default();
     loop {
-        asked.set(shared.knowledge.lock().unwrap().settings().pushback);
-        if !asked.may_call(&name, shared.clock.now()) {
+        asked.set_settings(shared.knowledge.lock().unwrap().settings().pushback);
+        if !asked.is_available(&name, shared.clock.now()) {
             Timer::after(FAILURE_PAUSE).await;
             continue;
         }
         let position = shared.knowledge.lock().unwrap().balancer().stores().position(key);
         let Some(position) = position else { return };
         let now = shared.clock.now();
-        let is_ours = shared.knowledge.lock().unwrap().follows_store(address, now);
+        let is_ours = shared.knowledge.lock().unwrap().should_follow_store(address, now);
         let result = match is_ours {
             true => read_page(shared, key, &mut caller, &mut asked, position).await,
             false => Err(eyre!("enough other gateways follow it")),
@@ -69,7 +69,7 @@
         match result {
             Ok(()) => Timer::after(PAUSE).await,
             Err(error) => {
-                if shared.knowledge.lock().unwrap().balancer().stores().lost(key) {
+                if shared.knowledge.lock().unwrap().balancer().stores().on_unreachable(key) {
                     shared.metrics.event("store_lost");
                     log::info!("gateway: event=store_lost address={address} error={error:#}");
                 }
@@ -83,21 +83,22 @@
     shared: &Shared,
     key: StoreKey,
     caller: &mut Caller,
-    asked: &mut Pushbacks,
+    asked: &mut PushbackRecords,
     position: u64,
 ) -> Result<()> {
     let req = shared.dialect.store_events_call(position, HOLD);
     let answer = caller.call(req, MAX_PAGE, HOLD + ANSWER_MARGIN).await?;
     // A store is no replica, which others may take the place of: only a time of rest counts.
-    let said = Pushback { is_leaving: false, ..shared.dialect.answer(&answer.head).pushback };
-    if let Some(heard) = asked.hear(&caller.address().to_string(), said, shared.clock.now()) {
-        let rest = heard.rests_for.unwrap_or_default().as_millis();
+    let said =
+        Pushback { is_leaving: false, ..shared.dialect.response_metadata(&answer.head).pushback };
+    if let Some(heard) = asked.record(&caller.address().to_string(), said, shared.clock.now()) {
+        let rest = heard.backoff.unwrap_or_default().as_millis();
         log::info!("gateway: event=store_pushback address={} rest_ms={rest}", caller.address());
     }
     if answer.head.status != 200 {
         bail!("status {}", answer.head.status);
     }
-    let page = shared.dialect.store_events(&answer.body);
+    let page = shared.dialect.parse_store_events(&answer.body);
     let page = page.ok_or_else(|| eyre!("an answer that is no page of events"))?;
     let (epoch, next) = (page.epoch, page.next);
     if shared.knowledge.lock().unwrap().balancer().stores().apply(key, page) {
