--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,5 +1,5 @@
-//! Who may go next, and who may not go at all: queues, tenant limits, retry budgets, circuit
-//! breakers and the pushback of replicas. All of them are plain data driven by the time that the caller passes in.
+//! Admission control: request queue, rate limits, retry budgets, circuit breakers and pushback of
+//! replicas. Nothing here reads a clock: callers pass the current time.
 
 mod breaker;
 mod bucket;
@@ -10,7 +10,7 @@
 
 pub use breaker::{Breaker, BreakerSettings, BreakerState};
 pub use bucket::TokenBucket;
-pub use pushback::{Heard, Pushback, PushbackSettings, Pushbacks};
-pub use queue::{Queue, QueueFull, Waiting};
+pub use pushback::{Pushback, PushbackChange, PushbackRecords, PushbackSettings};
+pub use queue::{Queue, QueueFull, WaitingRequest};
 pub use request_limit::{LimitChange, RequestLimit, RequestLimits};
-pub use retry::{Backoff, RetryBudget};
+pub use retry::{RetryBackoff, RetryBudget};
--- a/crates/gateway/src/balancer/cache_records.rs
+++ b/crates/gateway/src/balancer/cache_records.rs
@@ -68,7 +68,7 @@
                 self.pending_reads.remove(part);
             }
         }
-        self.view.learn(parts, slot, incarnation, now);
+        self.view.record(parts, slot, incarnation, now);
     }
 
     /// Drops the pending reads of an incarnation that ended.
@@ -84,7 +84,7 @@
         incarnation_of: impl Fn(u32) -> Option<Incarnation>,
     ) -> HashMap<u32, CachedPrefix> {
         let mut cached = HashMap::new();
-        self.view.holders(parts, now, incarnation_of, |slot, parts, age| {
+        self.view.cached_replicas(parts, now, incarnation_of, |slot, parts, age| {
             if age < MAX_CACHE_AGE {
                 cached.insert(slot, CachedPrefix { parts, age });
             }
--- a/crates/gateway/src/balancer/leaderless.rs
+++ b/crates/gateway/src/balancer/leaderless.rs
@@ -41,6 +41,6 @@
             .filter(|(published_version, _)| *published_version > version)
             .map(|(_, published_at)| *published_at)
             .min();
-        newer_at.is_some_and(|at| now >= at.max(self.last_leader_update) + self.cfg.bar_after())
+        newer_at.is_some_and(|at| now >= at.max(self.last_leader_update) + self.cfg.exclude_after())
     }
 }
--- a/crates/gateway/src/balancer/mod.rs
+++ b/crates/gateway/src/balancer/mod.rs
@@ -36,7 +36,7 @@
 use replica::Replica;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
-use topazmount_admission::{Pushbacks, RequestLimits};
+use topazmount_admission::{PushbackRecords, RequestLimits};
 use topazmount_routing::PolicyTable;
 use topazmount_types::{Incarnation, InstanceId, Time};
 
@@ -66,7 +66,7 @@
     /// updates.
     has_coordinators: bool,
     /// Pushback received from replicas, by incarnation.
-    pushbacks: Pushbacks,
+    pushbacks: PushbackRecords,
     /// Request limits reported by replicas, by incarnation.
     limits: RequestLimits,
     next_slot: u32,
@@ -90,7 +90,7 @@
             reliable_cache_age: DEFAULT_RELIABLE_CACHE_AGE,
             prefill_estimators: HashMap::new(),
             has_coordinators: false,
-            pushbacks: Pushbacks::default(),
+            pushbacks: PushbackRecords::default(),
             limits: RequestLimits::default(),
             next_slot: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
--- a/crates/gateway/src/balancer/progress.rs
+++ b/crates/gateway/src/balancer/progress.rs
@@ -96,7 +96,7 @@
     /// Whether the chosen incarnation is excluded from routing, as its weights are too old.
     pub fn is_excluded(&self, choice: &Choice) -> bool {
         let replica = self.chosen(choice);
-        replica.is_some_and(|replica| replica.availability == Availability::Barred)
+        replica.is_some_and(|replica| replica.availability == Availability::Excluded)
     }
 
     /// Whether the chosen replica sent anything after a moment.
--- a/crates/gateway/src/balancer/pushback.rs
+++ b/crates/gateway/src/balancer/pushback.rs
@@ -6,14 +6,14 @@
 use crate::shards::Shard;
 use std::time::Duration;
 use topazmount_admission::{
-    Heard, LimitChange, Pushback, PushbackSettings, RequestLimit, RequestLimits,
+    LimitChange, Pushback, PushbackChange, PushbackSettings, RequestLimit, RequestLimits,
 };
 use topazmount_types::{Instance, ReplicaId, Time};
 
 impl Balancer {
     /// Sets how long pushback is honored.
     pub fn set_pushback_settings(&mut self, cfg: PushbackSettings) {
-        self.pushbacks.set(cfg);
+        self.pushbacks.set_settings(cfg);
     }
 
     /// Records the pushback in a response. Pushback of an ended incarnation does not affect the
@@ -23,9 +23,9 @@
         choice: &Choice,
         pushback: Pushback,
         now: Time,
-    ) -> Option<Heard> {
+    ) -> Option<PushbackChange> {
         let name = self.responding_incarnation(choice, now)?.incarnation_name();
-        self.pushbacks.hear(&name, pushback, now)
+        self.pushbacks.record(&name, pushback, now)
     }
 
     /// Records the limit in a response to a request that was sent at `sent_at`.
@@ -37,7 +37,7 @@
         now: Time,
     ) -> Option<LimitChange> {
         let key = incarnation_hash(self.responding_incarnation(choice, now)?);
-        self.limits.hear(key, limit, sent_at, now)
+        self.limits.record(key, limit, sent_at, now)
     }
 
     /// The incarnation that a response comes from; `None` if that incarnation has ended.
@@ -72,12 +72,13 @@
     /// Whether a request may be sent to its choice now: the replica may have pushed back or ended
     /// since it was chosen.
     pub fn may_send(&self, choice: &Choice, now: Time) -> bool {
-        !self.has_ended(choice) && self.pushbacks.may_call(&choice.instance.incarnation_name(), now)
+        !self.has_ended(choice)
+            && self.pushbacks.is_available(&choice.instance.incarnation_name(), now)
     }
 
     pub(super) fn is_unavailable(&self, replica: &Replica, now: Time) -> bool {
-        !self.pushbacks.may_call(&replica.name, now)
-            || self.limits.spent_for(replica.incarnation_id.0, now).is_some()
+        !self.pushbacks.is_available(&replica.name, now)
+            || self.limits.exhausted_for(replica.incarnation_id.0, now).is_some()
     }
 
     /// Names of a shard's replicas that are unavailable to this node, which a coordinator can't
@@ -107,8 +108,8 @@
         let is_eligible = |replica: &&Replica| self.is_eligible(replica, request, now);
         let serving = self.serving(request.service).filter(is_eligible);
         let available_in = |replica: &Replica| {
-            let backoff = self.pushbacks.rests_for(&replica.name, now);
-            backoff.max(self.limits.spent_for(replica.incarnation_id.0, now))
+            let backoff = self.pushbacks.remaining_backoff(&replica.name, now);
+            backoff.max(self.limits.exhausted_for(replica.incarnation_id.0, now))
         };
         serving.filter_map(available_in).min()
     }
--- a/crates/gateway/src/balancer/replica.rs
+++ b/crates/gateway/src/balancer/replica.rs
@@ -71,7 +71,7 @@
             slot,
             in_flight: 0,
             pending_prefill: 0,
-            availability: Availability::Open,
+            availability: Availability::Available,
             models: Vec::new(),
             correction: (0, 0),
             downgraded_until: Time::ZERO,
@@ -166,7 +166,7 @@
     /// Whether it may be sent a request, apart from recent failures and pushback.
     pub(super) fn accepts(&self, request: &ChoiceRequest<'_>) -> bool {
         !self.instance.is_draining
-            && self.availability != Availability::Barred
+            && self.availability != Availability::Excluded
             && !request.tried.contains(&self.name)
             && request.pinned_to.is_none_or(|name| *name == self.name)
     }
@@ -179,7 +179,7 @@
 
     /// Whether other replicas may fetch parts from it. A paused one still has its cache.
     pub(super) fn can_transfer(&self) -> bool {
-        self.availability != Availability::Barred
+        self.availability != Availability::Excluded
     }
 
     /// Incarnation with these weights, which its cache contents belong to.
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
-use topazmount_control::{BlockedRequest, CrashLedger, CrashNote, CrashNotes};
+use topazmount_control::{BlockedRequest, CrashLedger, CrashRecord, CrashReport};
 use topazmount_types::{ReplicaId, RequestDigest, Time};
 
 /// Time for which a crash or completion is reported again, long enough for an election or a
@@ -68,7 +68,7 @@
     /// Crashes seen by this gateway.
     local_ledger: CrashLedger,
     suspicions: VecDeque<Suspicion>,
-    crash_notes: VecDeque<(Time, CrashNote)>,
+    crash_notes: VecDeque<(Time, CrashRecord)>,
     completion_notes: VecDeque<(Time, RequestDigest)>,
     completions: Completions,
 }
@@ -144,10 +144,10 @@
         at: Time,
     ) {
         let replica = ReplicaId::from_name(incarnation);
-        let note = CrashNote { request, replica, ran_for, age: Duration::ZERO };
+        let note = CrashRecord { request, replica, ran_for, age: Duration::ZERO };
         self.completion_notes.retain(|(_, completed)| *completed != request);
         self.crash_notes.push_back((at, note));
-        self.local_ledger.note(at, &CrashNotes { crashes: vec![note], completed: Vec::new() });
+        self.local_ledger.record(at, &CrashReport { crashes: vec![note], completed: Vec::new() });
     }
 
     /// Records that a request completed. Returns whether the control group should be informed at
@@ -164,23 +164,24 @@
     fn report_completion(&mut self, request: RequestDigest, now: Time) {
         self.crash_notes.retain(|(_, note)| note.request != request);
         self.completion_notes.push_back((now, request));
-        self.local_ledger.note(now, &CrashNotes { crashes: Vec::new(), completed: vec![request] });
+        self.local_ledger
+            .record(now, &CrashReport { crashes: Vec::new(), completed: vec![request] });
     }
 
     /// The report for the control group.
-    pub fn notes(&mut self, now: Time) -> CrashNotes {
-        self.local_ledger.forget(now);
+    pub fn notes(&mut self, now: Time) -> CrashReport {
+        self.local_ledger.expire(now);
         trim(&mut self.crash_notes, now);
         trim(&mut self.completion_notes, now);
-        let aged = |(at, note): &(Time, CrashNote)| CrashNote { age: now.since(*at), ..*note };
-        CrashNotes {
+        let aged = |(at, note): &(Time, CrashRecord)| CrashRecord { age: now.since(*at), ..*note };
+        CrashReport {
             crashes: self.crash_notes.iter().map(aged).collect(),
             completed: self.completion_notes.iter().map(|(_, request)| *request).collect(),
         }
     }
 
     /// Sets the requests that the control group has blocked. A request that completed here after
-    /// the first crash of its evidence is reported as completed. Returns the added and the removed
+    /// the first crash that counts against it is reported as completed. Returns the added and the removed
     /// requests.
     pub fn set_blocked(
         &mut self,
@@ -191,7 +192,7 @@
         let added: Vec<RequestDigest> = next.difference(&self.blocked).copied().collect();
         let removed = self.blocked.difference(&next).copied().collect();
         for entry in blocked.iter().filter(|entry| added.contains(&entry.request)) {
-            let first_crash = now - entry.evidence;
+            let first_crash = now - entry.crash_span;
             if self.completions.completed_at.get(&entry.request).is_some_and(|at| *at > first_crash)
             {
                 self.report_completion(entry.request, now);
--- a/crates/gateway/src/quota/authority.rs
+++ b/crates/gateway/src/quota/authority.rs
@@ -7,14 +7,14 @@
 //! grant only after it has requested a response, in which it still is the first, after the end of
 //! the previous one's lease. That lease ends:
 //! - after the rest of [`LEASE`], if the leader dropped the previous one from the list, as it had
-//!   not received a report from it for [`GATEWAY_SILENCE`];
+//!   not received a report from it for [`GATEWAY_TIMEOUT`];
 //! - after a whole [`LEASE`] otherwise, and if the leader is new and may not know the previous one
 //!   yet.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 use topazmount_consensus::Term;
-use topazmount_control::GATEWAY_SILENCE;
+use topazmount_control::GATEWAY_TIMEOUT;
 use topazmount_routing::rendezvous_weight;
 use topazmount_types::{ReplicaId, Time};
 
@@ -23,7 +23,7 @@
 pub(super) const LEASE: Duration = Duration::from_secs(3);
 /// Remaining lease of a gateway when the leader drops it.
 const REMAINING_LEASE: Duration =
-    Duration::from_millis(LEASE.as_millis() as u64 - GATEWAY_SILENCE.as_millis() as u64);
+    Duration::from_millis(LEASE.as_millis() as u64 - GATEWAY_TIMEOUT.as_millis() as u64);
 /// Time for which a gateway that is no longer listed is remembered; unused buckets are full by
 /// then.
 const MAX_MEMORY: Duration = Duration::from_secs(60);
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -23,7 +23,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use topazmount_admission::PushbackSettings;
-use topazmount_control::{FleetView, RolloutSettings, Seen};
+use topazmount_control::{FleetView, RolloutSettings, SeenVersions};
 use topazmount_routing::PolicyTable;
 use topazmount_types::{ErrorKind, RequestDigest, Time};
 
@@ -87,7 +87,7 @@
 pub struct GatewayState {
     settings: GatewaySettings,
     catalog: Option<Arc<Catalog>>,
-    seen: Seen,
+    seen: SeenVersions,
     /// Whether only a part of the replica list has been received.
     is_behind: bool,
     confirmed_until: Time,
@@ -118,7 +118,7 @@
         let mut state = GatewayState {
             settings,
             catalog: None,
-            seen: Seen::default(),
+            seen: SeenVersions::default(),
             is_behind: false,
             confirmed_until: Time::ZERO,
             unconfirmed_since: None,
@@ -156,7 +156,7 @@
     }
 
     /// Versions of the data already applied, for the next request to the control group.
-    pub fn seen_versions(&self) -> Seen {
+    pub fn seen_versions(&self) -> SeenVersions {
         self.seen
     }
 
@@ -226,10 +226,10 @@
         now: Time,
     ) {
         self.balancer.on_first_token(choice, request, waited, now);
-        self.policies.first_token(choice.policy, waited.as_secs_f64() * 1_000.0);
+        self.policies.on_first_token(choice.policy, waited.as_secs_f64() * 1_000.0);
         if let Some(prompt) = request.prompt {
             let cached = prompt.prompt_tokens.saturating_sub(choice.expected_prefill);
-            self.policies.ended(choice.policy, prompt.prompt_tokens, cached);
+            self.policies.on_finished(choice.policy, prompt.prompt_tokens, cached);
         }
     }
 
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -78,8 +78,8 @@
     /// The known limit of a chosen replica, if it ever reported one.
     pub fn limit_update(&mut self, choice: &Choice, now: Time) -> Option<LimitUpdate> {
         let replica = incarnation_hash(&choice.instance);
-        let known = self.balancer.limits().named(replica)?;
-        Some(LimitUpdate { replica, limit: known.limit, age: now.since(known.said_at) })
+        let known = self.balancer.limits().get(replica)?;
+        Some(LimitUpdate { replica, limit: known.limit, age: now.since(known.reported_at) })
     }
 
     /// Recipients of a changed limit: its granter, which forwards it to all other gateways.
@@ -92,7 +92,8 @@
 
     /// Applies a limit update of another gateway. Returns the gateways to forward it to.
     pub fn apply_limit_update(&mut self, update: &LimitUpdate, now: Time) -> Vec<SocketAddr> {
-        let change = self.balancer.limits().told(update.replica, update.limit, now - update.age);
+        let change =
+            self.balancer.limits().record_update(update.replica, update.limit, now - update.age);
         let is_granter = self.send_granter(update.replica, now) == Some(Granter::Local);
         match change {
             Some(_) if is_granter => self.gateways.others(now),
@@ -115,11 +116,11 @@
             let stripe = StripeId::of_replica(replica);
             quotas.granter(LimitOwner::Replica, stripe, now) == Some(Granter::Local)
         };
-        let limits = self.balancer.limits().all().filter(|(replica, _)| is_granter(*replica));
+        let limits = self.balancer.limits().active().filter(|(replica, _)| is_granter(*replica));
         let updates = limits.map(|(replica, known)| LimitUpdate {
             replica,
             limit: known.limit,
-            age: now.since(known.said_at),
+            age: now.since(known.reported_at),
         });
         (new_peers, updates.collect())
     }
@@ -147,6 +148,6 @@
     /// Records that a replica gets no requests for a while, as its limit is used up or has no
     /// granter.
     pub fn pause_replica(&mut self, replica: u64, wait: Duration, now: Time) {
-        self.balancer.limits().note_spent(replica, now + wait);
+        self.balancer.limits().set_exhausted_until(replica, now + wait);
     }
 }
--- a/crates/gateway/src/state/placement.rs
+++ b/crates/gateway/src/state/placement.rs
@@ -7,7 +7,7 @@
 use crate::shards::{GatewayList, Shard};
 use crate::stores::MAX_STORE_READERS;
 use std::net::SocketAddr;
-use topazmount_control::GatewayNews;
+use topazmount_control::GatewayListUpdate;
 use topazmount_types::Time;
 
 impl GatewayState {
@@ -42,7 +42,7 @@
         self.quotas.set_own(own);
     }
 
-    pub(super) fn set_gateways(&mut self, update: &GatewayNews, now: Time) {
+    pub(super) fn set_gateways(&mut self, update: &GatewayListUpdate, now: Time) {
         if update.is_full {
             self.peer_addresses.clear();
         }
--- a/crates/gateway/tests/balancer.rs
+++ b/crates/gateway/tests/balancer.rs
@@ -19,7 +19,7 @@
         id: id.to_owned(),
         availability,
         models,
-        start: Start::UNSAID,
+        start: Start::UNKNOWN,
         correction: (0, 0),
     }
 }
@@ -29,7 +29,7 @@
     for number in 0..count {
         let id = format!("replica-{number}");
         balancer.upsert(instance(&id, "pool", "north"));
-        balancer.set_status(&status(&id, Availability::Open, 1));
+        balancer.set_status(&status(&id, Availability::Available, 1));
     }
     balancer
 }
@@ -74,7 +74,7 @@
     for number in 0..12 {
         let id = format!("replica-{number}");
         if id != other.instance.id {
-            balancer.set_status(&status(&id, Availability::Open, 2));
+            balancer.set_status(&status(&id, Availability::Available, 2));
         }
     }
     let tried: Vec<String> = (0..12)
@@ -93,15 +93,15 @@
     for _ in 0..20 {
         assert_eq!(choose_for(&mut balancer, &prompt, &[]).unwrap().instance.id, "replica-1");
     }
-    balancer.set_status(&status("replica-1", Availability::Barred, 1));
+    balancer.set_status(&status("replica-1", Availability::Excluded, 1));
     assert_eq!(choose_for(&mut balancer, &prompt, &[]).unwrap().instance.id, "replica-0");
     let waiting = choose_for(&mut balancer, &prompt, &[]).unwrap();
     assert!(!balancer.is_excluded(&waiting));
-    balancer.set_status(&status("replica-0", Availability::Barred, 1));
+    balancer.set_status(&status("replica-0", Availability::Excluded, 1));
     assert!(choose_for(&mut balancer, &prompt, &[]).is_none());
     // A request that waits there must be withdrawn.
     assert!(balancer.is_excluded(&waiting));
-    balancer.set_status(&status("replica-0", Availability::Open, 2));
+    balancer.set_status(&status("replica-0", Availability::Available, 2));
     assert!(!balancer.is_excluded(&waiting));
 }
 
@@ -123,7 +123,7 @@
 fn uncached_prompts_start_on_the_newest_weights() {
     for topic in 0..50 {
         let mut balancer = pool(12, topic);
-        balancer.set_status(&status("replica-7", Availability::Open, 2));
+        balancer.set_status(&status("replica-7", Availability::Available, 2));
         let prompt = prompt(&[(topic, 100), (1_000 + topic, 10)]);
         assert_eq!(choose_for(&mut balancer, &prompt, &[]).unwrap().version, Some(2));
     }
@@ -182,8 +182,8 @@
     assert!(balancer.has_available_replica(&request(&prompt), NOW));
     let decided: u64 = policies.report().map(|(_, counters)| counters.decided).sum();
     assert_eq!(decided, 1);
-    balancer.set_status(&status("replica-0", Availability::Barred, 1));
-    balancer.set_status(&status("replica-1", Availability::Barred, 1));
+    balancer.set_status(&status("replica-0", Availability::Excluded, 1));
+    balancer.set_status(&status("replica-1", Availability::Excluded, 1));
     assert!(!balancer.has_available_replica(&request(&prompt), NOW));
 }
 
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -12,8 +12,8 @@
 const RUN: Duration = Duration::from_millis(140);
 const SECOND: Duration = Duration::from_secs(1);
 
-fn blocked(evidence: Duration) -> Vec<BlockedRequest> {
-    vec![BlockedRequest { request: REQUEST, evidence }]
+fn blocked(crash_span: Duration) -> Vec<BlockedRequest> {
+    vec![BlockedRequest { request: REQUEST, crash_span }]
 }
 
 fn after_seconds(seconds: u32) -> Time {
--- a/crates/gateway/tests/incarnations.rs
+++ b/crates/gateway/tests/incarnations.rs
@@ -27,7 +27,7 @@
 }
 
 fn status(id: &str, start: Start, version: u32) -> InstanceStatus {
-    let (availability, correction) = (Availability::Open, (0, 0));
+    let (availability, correction) = (Availability::Available, (0, 0));
     InstanceStatus { id: id.to_owned(), availability, models: loaded(version), start, correction }
 }
 
@@ -139,7 +139,7 @@
         balancer.set_status(&status("i-0", FIRST, 9));
     };
     a_late_status_that_excludes => |balancer, _| {
-        let availability = Availability::Barred;
+        let availability = Availability::Excluded;
         balancer.set_status(&InstanceStatus { availability, ..status("i-0", FIRST, 2) });
     };
     a_late_status_with_a_correction => |balancer, _| {
@@ -175,7 +175,7 @@
 fn an_exclusion_of_the_next_incarnation_does_not_affect_the_previous_one() {
     let (mut balancer, earlier) = restarted_replica();
     let next = choose(&mut balancer, &earlier.prompt, &[incarnation_name("i-1", FIRST)]).unwrap();
-    let availability = Availability::Barred;
+    let availability = Availability::Excluded;
     balancer.set_status(&InstanceStatus { availability, ..status("i-0", NEXT, 2) });
     assert!(balancer.is_excluded(&next) && !balancer.is_excluded(&earlier.choice));
     assert!(balancer.has_ended(&earlier.choice) && !balancer.has_ended(&next));
@@ -196,11 +196,11 @@
 #[test]
 fn replicas_with_unspecified_start_keep_their_state() {
     let mut balancer = Balancer::new("north", 1);
-    balancer.upsert(started("i-0", Start::UNSAID));
-    balancer.set_status(&status("i-0", Start::UNSAID, 2));
+    balancer.upsert(started("i-0", Start::UNKNOWN));
+    balancer.set_status(&status("i-0", Start::UNKNOWN, 2));
     let choice = choose(&mut balancer, &long_prompt(), &[]).unwrap();
     balancer.on_sent(&choice, &choice_request(&long_prompt(), None), NOW);
-    assert_eq!(balancer.upsert(started("i-0", Start::UNSAID)), None);
+    assert_eq!(balancer.upsert(started("i-0", Start::UNKNOWN)), None);
     assert_eq!(balancer.load("i-0").unwrap().0, 1);
     assert_eq!(choice.instance.incarnation_name(), "i-0");
 }
--- a/crates/gateway/tests/leaderless_weights.rs
+++ b/crates/gateway/tests/leaderless_weights.rs
@@ -37,9 +37,9 @@
             let version = rng.random_range(1..=2);
             let status = InstanceStatus {
                 id,
-                availability: Availability::Open,
+                availability: Availability::Available,
                 models: loaded(version),
-                start: Start::UNSAID,
+                start: Start::UNKNOWN,
                 correction: (0, 0),
             };
             balancer.set_status(&status);
--- a/crates/gateway/tests/outdated_weights.rs
+++ b/crates/gateway/tests/outdated_weights.rs
@@ -21,9 +21,9 @@
     balancer.upsert(instance("i-0", "pool", "north"));
     let status = InstanceStatus {
         id: "i-0".to_owned(),
-        availability: Availability::Open,
+        availability: Availability::Available,
         models: loaded(1),
-        start: Start::UNSAID,
+        start: Start::UNKNOWN,
         correction: (0, 0),
     };
     balancer.set_status(&status);
--- a/crates/gateway/tests/overload.rs
+++ b/crates/gateway/tests/overload.rs
@@ -108,9 +108,9 @@
     let ids: Vec<String> = (0..ENGINES).map(|number| format!("engine-{number}")).collect();
     let status = |id: &String| InstanceStatus {
         id: id.clone(),
-        availability: Availability::Open,
+        availability: Availability::Available,
         models: vec![LoadedModel { model: "model".to_owned(), version: 1 }],
-        start: Start::UNSAID,
+        start: Start::UNKNOWN,
         correction: (0, 0),
     };
     let view = FleetView {
--- a/crates/gateway/tests/pushback.rs
+++ b/crates/gateway/tests/pushback.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use topazmount_admission::{Heard, Pushback, PushbackSettings, Pushbacks};
+use topazmount_admission::{Pushback, PushbackChange, PushbackRecords, PushbackSettings};
 use topazmount_control::{FleetView, RemovedInstance};
 use topazmount_gateway::{Balancer, Choice, ChoiceRequest, GatewaySettings, GatewayState};
 use topazmount_routing::PolicyTable;
@@ -24,10 +24,11 @@
 }
 
 fn backoff(time: Duration) -> Pushback {
-    Pushback { rest: Some(time), ..Pushback::default() }
+    Pushback { backoff: Some(time), ..Pushback::default() }
 }
 
-const LEAVING: Pushback = Pushback { rest: None, is_leaving: true, limit: None, unreadable: None };
+const LEAVING: Pushback =
+    Pushback { backoff: None, is_leaving: true, limit: None, invalid_field: None };
 
 fn started(id: &str, start: Start) -> Instance {
     Instance { start, ..instance(id, "pool", "north") }
@@ -75,32 +76,34 @@
     #[case] at: u64,
     #[case] is_in_backoff: bool,
 ) {
-    let mut pushbacks = Pushbacks::default();
+    let mut pushbacks = PushbackRecords::default();
     for (after, backoff) in pushback {
-        let pushback = Pushback { rest: backoff.map(millis), ..Pushback::default() };
-        pushbacks.hear("i-0", pushback, NOW + millis(*after));
+        let pushback = Pushback { backoff: backoff.map(millis), ..Pushback::default() };
+        pushbacks.record("i-0", pushback, NOW + millis(*after));
     }
-    assert_eq!(pushbacks.may_call("i-0", NOW + millis(at)), !is_in_backoff);
-    assert!(pushbacks.may_call("i-1", NOW + millis(at)), "another replica did not push back");
+    assert_eq!(pushbacks.is_available("i-0", NOW + millis(at)), !is_in_backoff);
+    assert!(pushbacks.is_available("i-1", NOW + millis(at)), "another replica did not push back");
 }
 
 #[test]
 fn only_changes_are_reported() {
-    let mut pushbacks = Pushbacks::default();
-    let backoff_change =
-        |backoff, adds| Some(Heard { rests_for: Some(backoff), adds, leaves: false });
+    let mut pushbacks = PushbackRecords::default();
+    let backoff_change = |backoff, adds| {
+        Some(PushbackChange { backoff: Some(backoff), added: adds, is_leaving: false })
+    };
     assert_eq!(
-        pushbacks.hear("i-0", backoff(millis(900)), NOW),
+        pushbacks.record("i-0", backoff(millis(900)), NOW),
         backoff_change(millis(900), millis(900))
     );
-    assert_eq!(pushbacks.hear("i-0", backoff(millis(800)), NOW + millis(50)), None);
-    let longer = pushbacks.hear("i-0", backoff(millis(900)), NOW + millis(50));
+    assert_eq!(pushbacks.record("i-0", backoff(millis(800)), NOW + millis(50)), None);
+    let longer = pushbacks.record("i-0", backoff(millis(900)), NOW + millis(50));
     assert_eq!(longer, backoff_change(millis(900), millis(50)));
     assert_eq!(pushbacks.counts(NOW + millis(50)), (1, 0));
-    let leave_change = Some(Heard { rests_for: None, adds: Duration::ZERO, leaves: true });
-    assert_eq!(pushbacks.hear("i-0", LEAVING, NOW + millis(60)), leave_change);
-    assert_eq!(pushbacks.hear("i-0", LEAVING, NOW + millis(70)), None);
-    assert_eq!(pushbacks.hear("i-0", Pushback::default(), NOW + millis(80)), None);
+    let leave_change =
+        Some(PushbackChange { backoff: None, added: Duration::ZERO, is_leaving: true });
+    assert_eq!(pushbacks.record("i-0", LEAVING, NOW + millis(60)), leave_change);
+    assert_eq!(pushbacks.record("i-0", LEAVING, NOW + millis(70)), None);
+    assert_eq!(pushbacks.record("i-0", Pushback::default(), NOW + millis(80)), None);
     assert_eq!(pushbacks.counts(NOW + millis(80)), (0, 1));
 }
 
@@ -218,7 +221,7 @@
     assert!(balancer.is_leaving(&choice, NOW));
     balancer.remove("i-1");
     assert_eq!(choose(&mut balancer, &[], NOW + Duration::from_secs(100)), None);
-    let longest = PushbackSettings::default().longest_leave;
+    let longest = PushbackSettings::default().max_leaving;
     assert!(choose(&mut balancer, &[], NOW + longest).is_some(), "but not forever");
 }
 
@@ -304,7 +307,7 @@
                     return;
                 }
                 let choice = self.in_progress[at].remove(0);
-                let pushback = Pushback { rest: backoff_ms.map(millis), ..Pushback::default() };
+                let pushback = Pushback { backoff: backoff_ms.map(millis), ..Pushback::default() };
                 balancer.record_pushback(&choice, pushback, self.now);
                 if backoff_ms.is_none() {
                     balancer.on_success(&choice, self.now);
--- a/crates/gateway/tests/quota_simulation/mod.rs
+++ b/crates/gateway/tests/quota_simulation/mod.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
-use topazmount_control::{FleetView, GATEWAY_SILENCE, GatewayNews, GatewayReport};
+use topazmount_control::{FleetView, GATEWAY_TIMEOUT, GatewayListUpdate, GatewayReport};
 use topazmount_gateway::{
     Catalog, CatalogParts, GatewaySettings, GatewayState, GrantResponse, Granter, LimitUnit,
     QuotaSettings, STRIPES, StripeId, Tenant, TenantLimit,
@@ -123,7 +123,7 @@
         let now = self.now;
         if let Some(leader) = &mut self.leader {
             let before = leader.last_report_at.len();
-            leader.last_report_at.retain(|_, reported_at| now < *reported_at + GATEWAY_SILENCE);
+            leader.last_report_at.retain(|_, reported_at| now < *reported_at + GATEWAY_TIMEOUT);
             leader.count += u64::from(before != leader.last_report_at.len());
         }
         for number in 0..self.gateways.len() {
@@ -146,7 +146,7 @@
             let seen = gateway.state.seen_versions();
             let gateways = (seen.gateways != (leader.term, leader.count)).then(|| {
                 let reports = leader.last_report_at.keys().map(|number| report(*number)).collect();
-                GatewayNews::full((leader.term, leader.count), reports)
+                GatewayListUpdate::full((leader.term, leader.count), reports)
             });
             let view = FleetView {
                 staleness: Some(Duration::ZERO),
--- a/crates/gateway/tests/refused_versions.rs
+++ b/crates/gateway/tests/refused_versions.rs
@@ -21,9 +21,9 @@
 fn status(id: &str, version: u32) -> InstanceStatus {
     InstanceStatus {
         id: id.to_owned(),
-        availability: Availability::Open,
+        availability: Availability::Available,
         models: loaded(version),
-        start: Start::UNSAID,
+        start: Start::UNKNOWN,
         correction: (0, 0),
     }
 }
--- a/crates/gateway/tests/request_limits.rs
+++ b/crates/gateway/tests/request_limits.rs
@@ -267,7 +267,7 @@
     let mut limits = RequestLimits::default();
     for (limit, sent, arrived) in responses {
         let limit = limit.map(RequestLimit::per_second);
-        limits.hear(REPLICA, limit, NOW + millis(*sent), NOW + millis(*arrived));
+        limits.record(REPLICA, limit, NOW + millis(*sent), NOW + millis(*arrived));
     }
     assert_eq!(limits.limit(REPLICA), last.and_then(limit));
 }
@@ -275,22 +275,22 @@
 #[test]
 fn only_changes_are_reported() {
     let mut limits = RequestLimits::default();
-    let reported = |per_second| limit(per_second).map(LimitChange::Named);
-    assert_eq!(limits.hear(REPLICA, limit(1.0), NOW, NOW + millis(1)), reported(1.0));
-    assert_eq!(limits.hear(REPLICA, limit(1.0), NOW + millis(2), NOW + millis(3)), None);
-    assert_eq!(limits.hear(REPLICA, limit(2.0), NOW + millis(4), NOW + millis(5)), reported(2.0));
-    let ended = limits.hear(REPLICA, None, NOW + millis(6), NOW + millis(7));
-    assert_eq!(ended, Some(LimitChange::Ended));
+    let reported = |per_second| limit(per_second).map(LimitChange::Set);
+    assert_eq!(limits.record(REPLICA, limit(1.0), NOW, NOW + millis(1)), reported(1.0));
+    assert_eq!(limits.record(REPLICA, limit(1.0), NOW + millis(2), NOW + millis(3)), None);
+    assert_eq!(limits.record(REPLICA, limit(2.0), NOW + millis(4), NOW + millis(5)), reported(2.0));
+    let ended = limits.record(REPLICA, None, NOW + millis(6), NOW + millis(7));
+    assert_eq!(ended, Some(LimitChange::Removed));
 }
 
 /// An update from another gateway may be older than a response received directly.
 #[test]
 fn older_updates_of_other_gateways_are_ignored() {
     let mut limits = RequestLimits::default();
-    limits.hear(REPLICA, limit(1.0), NOW, NOW + millis(100));
-    limits.told(REPLICA, limit(5.0), NOW + millis(50));
+    limits.record(REPLICA, limit(1.0), NOW, NOW + millis(100));
+    limits.record_update(REPLICA, limit(5.0), NOW + millis(50));
     assert_eq!(limits.limit(REPLICA), limit(1.0));
-    limits.told(REPLICA, None, NOW + millis(150));
+    limits.record_update(REPLICA, None, NOW + millis(150));
     assert_eq!(limits.limit(REPLICA), None);
 }
 
@@ -301,9 +301,9 @@
 #[case::after(300, false)]
 fn a_limit_ends_with_its_incarnation(#[case] starts_after: i64, #[case] carries_over: bool) {
     let mut limits = RequestLimits::default();
-    limits.hear(REPLICA, limit(1.0), NOW, NOW);
+    limits.record(REPLICA, limit(1.0), NOW, NOW);
     let start = Start(1_000_000u64.checked_add_signed(starts_after).unwrap());
-    limits.replaced(REPLICA, REPLICA + 1, start);
+    limits.on_replaced(REPLICA, REPLICA + 1, start);
     assert_eq!(limits.limit(REPLICA), None);
     assert_eq!(limits.limit(REPLICA + 1).is_some(), carries_over);
 }
--- a/crates/gateway/tests/shards.rs
+++ b/crates/gateway/tests/shards.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use topazmount_admission::Pushback;
 use topazmount_control::{
-    Availability, FleetView, GatewayNews, GatewayReport, InstanceStatus, LoadedModel,
+    Availability, FleetView, GatewayListUpdate, GatewayReport, InstanceStatus, LoadedModel,
 };
 use topazmount_gateway::{
     Catalog, CatalogParts, Choice, ChoiceRequest, GatewayList, GatewaySettings, GatewayState,
@@ -46,9 +46,9 @@
     let model = || vec![LoadedModel { model: "model".to_owned(), version: 1 }];
     let status = |id: &String| InstanceStatus {
         id: id.clone(),
-        availability: Availability::Open,
+        availability: Availability::Available,
         models: model(),
-        start: Start::UNSAID,
+        start: Start::UNKNOWN,
         correction: (0, 0),
     };
     let view = FleetView {
@@ -56,7 +56,7 @@
         is_full: true,
         instances: ids.iter().map(|id| instance(id, "pool", "north")).collect(),
         statuses: Some(((Default::default(), 1), ids.iter().map(status).collect())),
-        gateways: Some(GatewayNews::full((0, 1), (0..gateways).map(report).collect())),
+        gateways: Some(GatewayListUpdate::full((0, 1), (0..gateways).map(report).collect())),
         gateway_count: gateways as u32,
         staleness: Some(Duration::ZERO),
         ..FleetView::default()
@@ -357,7 +357,7 @@
 /// skip.
 #[test]
 fn a_coordinator_offers_no_replica_that_pushed_back_the_asking_gateway() {
-    let backoff = Pushback { rest: Some(Duration::from_secs(3)), ..Pushback::default() };
+    let backoff = Pushback { backoff: Some(Duration::from_secs(3)), ..Pushback::default() };
     let leaving = Pushback { is_leaving: true, ..Pushback::default() };
     for pushback in [backoff, leaving] {
         let mut fleet: Vec<GatewayState> = (0..60).map(|number| gateway(number, 60, 64)).collect();
--- a/crates/gateway/tests/stores.rs
+++ b/crates/gateway/tests/stores.rs
@@ -31,7 +31,7 @@
         tokens: *tokens,
     };
     let changes = held_tokens.iter().map(change).collect();
-    StoreEvents { epoch, start: Start::UNSAID, next: 5, has_gap: false, changes }
+    StoreEvents { epoch, start: Start::UNKNOWN, next: 5, has_gap: false, changes }
 }
 
 fn stores(events: StoreEvents) -> (Stores, StoreKey) {
@@ -155,9 +155,9 @@
         let models = vec![LoadedModel { model: "model".to_owned(), version: 1 }];
         balancer.set_status(&InstanceStatus {
             id,
-            availability: Availability::Open,
+            availability: Availability::Available,
             models,
-            start: Start::UNSAID,
+            start: Start::UNKNOWN,
             correction: (0, 0),
         });
     }
@@ -222,7 +222,7 @@
         id: loaded,
         availability: Availability::Paused,
         models,
-        start: Start::UNSAID,
+        start: Start::UNKNOWN,
         correction: (0, 0),
     });
     assert_eq!(balancer.select_store(&old, &request(&sample, &engine), None, NOW), None);
--- a/crates/topazmount/src/fleet/peers.rs
+++ b/crates/topazmount/src/fleet/peers.rs
@@ -23,23 +23,31 @@
 
 /// What a gateway tells another one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-enum Message {
+pub enum GatewayMessage {
     /// Its work at a replica.
-    Load(LoadUpdate),
+    #[serde(rename = "Load")]
+    LoadUpdate(LoadUpdate),
     /// A question to a coordinator, by its number.
-    Question(u64, PlacementRequest),
+    #[serde(rename = "Question")]
+    ChoiceRequest(u64, PlacementRequest),
     /// The answer to the question of that number; none where no replica may be asked.
-    Answer(u64, Option<PlacementOffer>),
+    #[serde(rename = "Answer")]
+    ChoiceResponse(u64, Option<PlacementOffer>),
     /// Asks for units of a stripe of a tenant's limit, by the number of the question.
-    Grant(u64, StripeId, u32),
+    #[serde(rename = "Grant")]
+    GrantRequest(u64, StripeId, u32),
     /// The answer to that.
-    Granted(u64, GrantResponse),
+    #[serde(rename = "Granted")]
+    GrantResponse(u64, GrantResponse),
     /// Units that were granted for a request that has not run.
-    GiveBack(StripeId, u32),
+    #[serde(rename = "GiveBack")]
+    UnitsReturned(StripeId, u32),
     /// What it was told of a replica's limit.
-    Limit(LimitUpdate),
+    #[serde(rename = "Limit")]
+    LimitUpdate(LimitUpdate),
     /// Asks for one request to a replica that names a limit, by the number of the question; answered by `Granted`.
-    GrantSend(u64, LimitUpdate),
+    #[serde(rename = "GrantSend")]
+    SendGrantRequest(u64, LimitUpdate),
 }
 
 /// An answer to a question.
@@ -61,7 +69,7 @@
 
 struct Outgoing {
     to: Vec<SocketAddr>,
-    message: Message,
+    message: GatewayMessage,
 }
 
 /// A question under way; forgotten when it is dropped.
@@ -107,10 +115,10 @@
     /// makes it good.
     pub(super) fn tell(&self, news: Option<(Vec<SocketAddr>, LoadUpdate)>) {
         let Some((to, news)) = news else { return };
-        self.send(to, Message::Load(LoadUpdate { node: self.node, ..news }));
+        self.send(to, GatewayMessage::LoadUpdate(LoadUpdate { node: self.node, ..news }));
     }
 
-    fn send(&self, to: Vec<SocketAddr>, message: Message) {
+    fn send(&self, to: Vec<SocketAddr>, message: GatewayMessage) {
         if !to.is_empty() {
             let _ = self.waiting.0.try_send(Outgoing { to, message });
         }
@@ -123,7 +131,9 @@
         question: PlacementRequest,
         limit: Duration,
     ) -> Option<Option<PlacementOffer>> {
-        match self.question(coordinator, |number| Message::Question(number, question), limit).await
+        match self
+            .question(coordinator, |number| GatewayMessage::ChoiceRequest(number, question), limit)
+            .await
         {
             Some(Answer::Choice(offer)) => Some(offer),
             _ => None,
@@ -138,7 +148,10 @@
         amount: u32,
         limit: Duration,
     ) -> Option<GrantResponse> {
-        match self.question(granter, |number| Message::Grant(number, stripe, amount), limit).await {
+        match self
+            .question(granter, |number| GatewayMessage::GrantRequest(number, stripe, amount), limit)
+            .await
+        {
             Some(Answer::Grant(answer)) => Some(answer),
             _ => None,
         }
@@ -152,7 +165,10 @@
         asked: LimitUpdate,
         limit: Duration,
     ) -> Option<GrantResponse> {
-        match self.question(granter, |number| Message::GrantSend(number, asked), limit).await {
+        match self
+            .question(granter, |number| GatewayMessage::SendGrantRequest(number, asked), limit)
+            .await
+        {
             Some(Answer::Grant(answer)) => Some(answer),
             _ => None,
         }
@@ -160,18 +176,18 @@
 
     /// Tells others of a replica's limit, without waiting.
     pub(super) fn tell_limit(&self, to: Vec<SocketAddr>, news: LimitUpdate) {
-        self.send(to, Message::Limit(news));
+        self.send(to, GatewayMessage::LimitUpdate(news));
     }
 
     /// Tells a granter of units that were not used.
     pub(super) fn give_back(&self, granter: SocketAddr, stripe: StripeId, amount: u32) {
-        self.send(vec![granter], Message::GiveBack(stripe, amount));
+        self.send(vec![granter], GatewayMessage::UnitsReturned(stripe, amount));
     }
 
     async fn question(
         &self,
         to: SocketAddr,
-        message: impl FnOnce(u64) -> Message,
+        message: impl FnOnce(u64) -> GatewayMessage,
         limit: Duration,
     ) -> Option<Answer> {
         let number = self.next_question.fetch_add(1, Ordering::Relaxed);
@@ -211,37 +227,40 @@
     loop {
         let Ok((length, sender)) = peers.socket.recv_from(&mut buffer).await else { continue };
         let payload = open_datagram(&peers.key, &buffer[..length]);
-        let message = payload.ok().and_then(|payload| decode_payload::<Message>(payload).ok());
+        let message =
+            payload.ok().and_then(|payload| decode_payload::<GatewayMessage>(payload).ok());
         let now = shared.clock.now();
         match message {
-            Some(Message::Load(news)) => {
+            Some(GatewayMessage::LoadUpdate(news)) => {
                 shared.knowledge.lock().unwrap().balancer().apply_load_update(&news, now);
             }
-            Some(Message::Question(number, question)) => {
+            Some(GatewayMessage::ChoiceRequest(number, question)) => {
                 shared.metrics.event("question_answered");
                 let offer = shared.knowledge.lock().unwrap().place(&question, now);
-                peers.send(vec![sender], Message::Answer(number, offer));
+                peers.send(vec![sender], GatewayMessage::ChoiceResponse(number, offer));
+            }
+            Some(GatewayMessage::ChoiceResponse(number, offer)) => {
+                peers.answered(number, Answer::Choice(offer))
             }
-            Some(Message::Answer(number, offer)) => peers.answered(number, Answer::Choice(offer)),
-            Some(Message::Grant(number, stripe, amount)) => {
+            Some(GatewayMessage::GrantRequest(number, stripe, amount)) => {
                 let answer = shared.knowledge.lock().unwrap().grant(stripe, amount, now);
                 shared.metrics.event(grant_event(answer));
-                peers.send(vec![sender], Message::Granted(number, answer));
+                peers.send(vec![sender], GatewayMessage::GrantResponse(number, answer));
             }
-            Some(Message::Granted(number, answer)) => {
+            Some(GatewayMessage::GrantResponse(number, answer)) => {
                 peers.answered(number, Answer::Grant(answer));
             }
-            Some(Message::GiveBack(stripe, amount)) => {
+            Some(GatewayMessage::UnitsReturned(stripe, amount)) => {
                 shared.knowledge.lock().unwrap().return_units(stripe, amount, now);
             }
-            Some(Message::Limit(news)) => {
+            Some(GatewayMessage::LimitUpdate(news)) => {
                 let to = shared.knowledge.lock().unwrap().apply_limit_update(&news, now);
                 peers.tell_limit(to, news);
             }
-            Some(Message::GrantSend(number, asked)) => {
+            Some(GatewayMessage::SendGrantRequest(number, asked)) => {
                 let answer = shared.knowledge.lock().unwrap().grant_send(&asked, now);
                 shared.metrics.event(send_grant_event(answer));
-                peers.send(vec![sender], Message::Granted(number, answer));
+                peers.send(vec![sender], GatewayMessage::GrantResponse(number, answer));
             }
             None => shared.metrics.event("bad_datagram"),
         }
