--- a/crates/topazmount/src/fleet/caller.rs
+++ b/crates/topazmount/src/fleet/caller.rs
@@ -1,7 +1,7 @@
-//! Calls to replicas and stores, on a connection that is kept where both sides allow it.
+//! HTTP calls to one replica or store, reusing the connection where both sides allow it.
 
 use super::dialect::HttpRequest;
-use super::pool::ConnectionEnd;
+use super::pool::KeepAliveHint;
 use crate::frames::within;
 use crate::http1::{
     BodyReader, ClientAnswer, Headers, Wire, connect, read_answer_head, request_bytes,
@@ -14,46 +14,46 @@
 /// Makes calls to one address.
 pub(super) struct Caller {
     address: SocketAddr,
-    kept: Option<Wire>,
+    idle: Option<Wire>,
 }
 
 impl Caller {
-    /// A caller of an address.
+    /// Creates a caller for an address.
     ///
     /// # Errors
-    /// When the address can't be read.
+    /// If the address is invalid.
     pub(super) fn new(address: &str) -> Result<Self> {
-        let address = address.parse().wrap_err_with(|| format!("the address {address}"))?;
-        Ok(Caller { address, kept: None })
+        let address = address.parse().wrap_err_with(|| format!("invalid address {address}"))?;
+        Ok(Caller { address, idle: None })
     }
 
-    /// Whom it calls.
+    /// Address that is called.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Makes a call and reads the whole answer of at most `most` bytes. The first call of a caller
-    /// goes out once at most; a later one may go out twice, where its kept connection breaks.
+    /// Sends a call and reads the complete response, with a body of at most `max_bytes`. The first call
+    /// of a caller is sent once; a later one is sent again if the idle connection breaks.
     ///
     /// # Errors
-    /// When no whole answer comes within `limit`.
+    /// If no complete response arrives within `timeout`.
     pub(super) async fn call(
         &mut self,
-        req: HttpRequest,
-        most: usize,
-        limit: Duration,
+        request: HttpRequest,
+        max_bytes: usize,
+        timeout: Duration,
     ) -> Result<ClientAnswer> {
         let mut fields = vec![("Host".to_owned(), self.address.to_string().into_bytes())];
-        fields.extend(req.headers.into_iter().map(|(name, value)| (name, value.into_bytes())));
-        let bytes = request_bytes(req.method, &req.target, &Headers(fields), &req.body);
-        within(limit, async {
-            if let Some(wire) = self.kept.take()
-                && let Ok(answer) = self.exchange(wire, req.method, &bytes, most).await
+        fields.extend(request.headers.into_iter().map(|(name, value)| (name, value.into_bytes())));
+        let bytes = request_bytes(request.method, &request.target, &Headers(fields), &request.body);
+        within(timeout, async {
+            if let Some(wire) = self.idle.take()
+                && let Ok(answer) = self.exchange(wire, request.method, &bytes, max_bytes).await
             {
                 return Ok(answer);
             }
-            let wire = connect(self.address, limit).await?;
-            self.exchange(wire, req.method, &bytes, most).await
+            let wire = connect(self.address, timeout).await?;
+            self.exchange(wire, request.method, &bytes, max_bytes).await
         })
         .await
     }
@@ -63,14 +63,14 @@
         mut wire: Wire,
         method: &str,
         bytes: &[u8],
-        most: usize,
+        max_bytes: usize,
     ) -> Result<ClientAnswer> {
         wire.write_all(bytes).await?;
         let head = read_answer_head(&mut wire).await?;
         let framing = response_framing(&head, method)?;
-        let body = BodyReader::new(framing).read_all(&mut wire, most).await?;
-        if ConnectionEnd::of(&head, framing).answer_end(&wire, true).is_clean() {
-            self.kept = Some(wire);
+        let body = BodyReader::new(framing).read_all(&mut wire, max_bytes).await?;
+        if KeepAliveHint::from_head(&head, framing).response_end(&wire, true).is_clean() {
+            self.idle = Some(wire);
         }
         Ok(ClientAnswer { head, body })
     }
--- a/crates/topazmount/src/fleet/clients.rs
+++ b/crates/topazmount/src/fleet/clients.rs
@@ -1,11 +1,11 @@
-//! Clients' connections: requests in, each handed to its exchange, answers out.
+//! Serves clients' connections: reads requests and passes each one to an [`Exchange`].
 
-use super::answer::own_answer;
 use super::dialect::RequestMetadata;
-use super::exchange::{Ending, Exchange};
-use super::gateway::Shared;
-use super::http_service::within;
-use super::request_reader::{Unread, read_body, read_head};
+use super::exchange::{Exchange, ResponseOutcome};
+use super::gateway::SharedState;
+use super::http_service::with_timeout;
+use super::request_reader::{ReadError, read_body, read_head};
+use super::response::response_to;
 use crate::Executor;
 use crate::http1::{RequestHead, Wire};
 use async_net::TcpListener;
@@ -15,16 +15,16 @@
 use topazmount_gateway::Admission;
 use topazmount_types::{Digest, ErrorKind, RequestDigest, Time};
 
-/// Pause after a failed accept, for example without free descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Time for a client to read the end of a refused request's answer.
-const REFUSAL_LINGER: Duration = Duration::from_millis(300);
+/// Delay after a failed accept, for example when no file descriptors are free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Time for a client to read an error response before its connection is closed.
+const CLOSE_LINGER: Duration = Duration::from_millis(300);
 
-/// Counts a request from its first byte to the end of its answer.
-struct OpenRequest<'a>(&'a Shared);
+/// Counts an open request until it is dropped.
+struct OpenRequest<'a>(&'a SharedState);
 
 impl<'a> OpenRequest<'a> {
-    fn new(shared: &'a Shared) -> Self {
+    fn new(shared: &'a SharedState) -> Self {
         shared.open_requests.fetch_add(1, Ordering::SeqCst);
         OpenRequest(shared)
     }
@@ -36,8 +36,8 @@
     }
 }
 
-/// Takes connections for ever.
-pub(super) async fn accept(executor: Executor, listener: TcpListener, shared: Arc<Shared>) {
+/// Accepts connections forever.
+pub(super) async fn accept(executor: Executor, listener: TcpListener, shared: Arc<SharedState>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -46,154 +46,172 @@
             }
             Err(error) => {
                 log::warn!("gateway: event=accept_failed error={error:?}");
-                async_io::Timer::after(ACCEPT_PAUSE).await;
+                async_io::Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve_client(shared: Arc<Shared>, mut wire: Wire) {
+async fn serve_client(shared: Arc<SharedState>, mut wire: Wire) {
     loop {
         let head = match read_head(&mut wire, || shared.read_limits()).await {
             Ok(head) => head,
-            Err(Unread::Gone) => return,
-            Err(Unread::Refused(kind)) => return refuse(&shared, &mut wire, kind).await,
+            Err(ReadError::Disconnected) => return,
+            Err(ReadError::Rejected(kind)) => {
+                return send_error_and_close(&shared, &mut wire, kind).await;
+            }
         };
         let _open = OpenRequest::new(&shared);
-        let received = shared.clock.now();
+        let received_at = shared.clock.now();
         let body = match read_body(&mut wire, &head, &shared.read_limits()).await {
             Ok(body) => body,
-            Err(Unread::Gone) => return,
-            Err(Unread::Refused(kind)) => return refuse(&shared, &mut wire, kind).await,
+            Err(ReadError::Disconnected) => return,
+            Err(ReadError::Rejected(kind)) => {
+                return send_error_and_close(&shared, &mut wire, kind).await;
+            }
         };
         let keeps_alive = head.keeps_alive() && !shared.is_stopping();
-        let ending = serve_request(&shared, &mut wire, &head, &body, received, keeps_alive).await;
-        match ending {
-            Some(Ending::Whole) if keeps_alive => {}
-            Some(Ending::Whole) => return wire.finish(),
-            Some(Ending::Cut) | None => return wire.abort(),
+        let outcome =
+            serve_request(&shared, &mut wire, &head, &body, received_at, keeps_alive).await;
+        match outcome {
+            Some(ResponseOutcome::Complete) if keeps_alive => {}
+            Some(ResponseOutcome::Complete) => return wire.finish(),
+            Some(ResponseOutcome::Truncated) | None => return wire.abort(),
         }
     }
 }
 
-/// Serves one request; `None` when the client left first.
+/// Serves one request; `None` if the client disconnects first.
 async fn serve_request(
-    shared: &Shared,
+    shared: &SharedState,
     wire: &mut Wire,
     head: &RequestHead,
     body: &[u8],
-    received: Time,
+    received_at: Time,
     keeps_alive: bool,
-) -> Option<Ending> {
-    let tags = match shared.dialect.request_metadata(head) {
-        Ok(tags) => tags,
+) -> Option<ResponseOutcome> {
+    let metadata = match shared.dialect.request_metadata(head) {
+        Ok(metadata) => metadata,
         Err(problem) => {
             log::info!("gateway: event=refused problem={problem:?}");
             return Some(
-                answer_kind(shared, wire, head, ErrorKind::InvalidRequest, keeps_alive).await,
+                send_error(shared, wire, head, ErrorKind::InvalidRequest, keeps_alive).await,
             );
         }
     };
     let host = head.host().unwrap_or_default();
-    let admission = if shared.is_closed.load(Ordering::SeqCst) {
+    let admission = if shared.refuses_requests.load(Ordering::SeqCst) {
         Err(ErrorKind::Draining)
     } else {
         let mut knowledge = shared.knowledge.lock().unwrap();
-        knowledge.admit(host, head.path(), tags.api_key.as_deref(), received)
+        knowledge.admit(host, head.path(), metadata.api_key.as_deref(), received_at)
     };
     let admission = match admission {
         Ok(admission) => admission,
         Err(kind) => {
-            log_refusal(shared, &tags, host, head.path(), kind);
-            return Some(answer_kind(shared, wire, head, kind, keeps_alive).await);
+            log_refusal(shared, &metadata, host, head.path(), kind);
+            return Some(send_error(shared, wire, head, kind, keeps_alive).await);
         }
     };
     let client = wire.writer();
     let engine = {
         let knowledge = shared.knowledge.lock().unwrap();
-        let service = knowledge.catalog().and_then(|all| all.service(&admission.service).cloned());
+        let service =
+            knowledge.catalog().and_then(|catalog| catalog.service(&admission.service).cloned());
         service.and_then(|service| service.engine)
     };
     let exchange = Exchange {
         shared,
         head,
         body,
-        tags: &tags,
-        digest: digest(host, head, &admission, body),
+        metadata: &metadata,
+        digest: request_digest(host, head, &admission, body),
         admission: &admission,
-        received,
+        received_at,
         keeps_alive,
         engine,
         client,
     };
-    let served = async { Some(exchange.run().await) };
-    let left = async {
+    let serving = async { Some(exchange.run().await) };
+    let client_left = async {
         wire.gone().await;
         None
     };
-    let ending = futures_lite::future::or(served, left).await;
-    if ending.is_none() {
-        shared.metrics.answer("client_gone", shared.clock.now().since(received));
-        shared.journal.line(|| {
-            let after = shared.clock.now().since(received).as_millis();
-            format!("gateway: event=client_gone request={} after_ms={after}", tags.id)
+    let outcome = futures_lite::future::or(serving, client_left).await;
+    if outcome.is_none() {
+        shared.metrics.record_response("client_gone", shared.clock.now().since(received_at));
+        shared.event_log.info(|| {
+            let elapsed_ms = shared.clock.now().since(received_at).as_millis();
+            format!("gateway: event=client_gone request={} after_ms={elapsed_ms}", metadata.id)
         });
     }
-    ending
+    outcome
 }
 
-/// The tenant stands for the caller: it may hold several keys.
-fn digest(host: &str, head: &RequestHead, admission: &Admission, body: &[u8]) -> RequestDigest {
+/// Digest that identifies retries of a request. It includes the tenant instead of the API key, since a
+/// tenant may have several keys.
+fn request_digest(
+    host: &str,
+    head: &RequestHead,
+    admission: &Admission,
+    body: &[u8],
+) -> RequestDigest {
     let tenant = admission.tenant.as_ref().map_or("", |tenant| tenant.name.as_str());
     let parts = [host, &head.method, &head.target, tenant].map(str::as_bytes);
     RequestDigest(Digest::of_parts(&[parts[0], parts[1], parts[2], parts[3], body]).prefix())
 }
 
-fn log_refusal(shared: &Shared, tags: &RequestMetadata, host: &str, path: &str, kind: ErrorKind) {
-    shared.metrics.answer(kind.name(), Duration::ZERO);
-    shared.journal.line(|| {
+fn log_refusal(
+    shared: &SharedState,
+    metadata: &RequestMetadata,
+    host: &str,
+    path: &str,
+    kind: ErrorKind,
+) {
+    shared.metrics.record_response(kind.name(), Duration::ZERO);
+    shared.event_log.info(|| {
         let version = shared.knowledge.lock().unwrap().seen().document;
         format!(
             "gateway: event=answer request={} status={} reason={} host={host} path={path} \
              version={version}",
-            tags.id,
+            metadata.id,
             kind.status(),
             kind.name()
         )
     });
 }
 
-async fn answer_kind(
-    shared: &Shared,
+async fn send_error(
+    shared: &SharedState,
     wire: &mut Wire,
     head: &RequestHead,
     kind: ErrorKind,
     keeps_alive: bool,
-) -> Ending {
-    let answer = shared.dialect.error_response(kind, shared.retry_after(kind));
-    match wire.write_all(&own_answer(&answer, head, keeps_alive)).await {
-        Ok(()) => Ending::Whole,
-        Err(_) => Ending::Cut,
+) -> ResponseOutcome {
+    let response = shared.dialect.error_response(kind, shared.retry_after(kind));
+    match wire.write_all(&response_to(&response, head, keeps_alive)).await {
+        Ok(()) => ResponseOutcome::Complete,
+        Err(_) => ResponseOutcome::Truncated,
     }
 }
 
-/// Answers a request that could not be read, and closes in a way that lets the client read that.
-async fn refuse(shared: &Shared, wire: &mut Wire, kind: ErrorKind) {
-    shared.metrics.answer(kind.name(), Duration::ZERO);
-    let answer = shared.dialect.error_response(kind, None);
+/// Sends an error for a request that could not be read, and closes the connection.
+async fn send_error_and_close(shared: &SharedState, wire: &mut Wire, kind: ErrorKind) {
+    shared.metrics.record_response(kind.name(), Duration::ZERO);
+    let response = shared.dialect.error_response(kind, None);
     let head = RequestHead {
         method: String::new(),
         target: String::new(),
         minor_version: 1,
         headers: Default::default(),
     };
-    shared.journal.line(|| {
+    shared.event_log.info(|| {
         format!("gateway: event=answer status={} reason={} unread", kind.status(), kind.name())
     });
-    let _ = wire.write_all(&own_answer(&answer, &head, false)).await;
+    let _ = wire.write_all(&response_to(&response, &head, false)).await;
     wire.finish();
-    // Closing with unread bytes would reset the connection before the client has the answer.
-    within(REFUSAL_LINGER, async {
+    // Closing a socket with unread data would reset the connection and discard the response.
+    with_timeout(CLOSE_LINGER, async {
         while matches!(wire.fill().await, Ok(read) if read > 0) {
             wire.consume(usize::MAX);
         }
--- a/crates/topazmount/src/fleet/control_service.rs
+++ b/crates/topazmount/src/fleet/control_service.rs
@@ -1,4 +1,4 @@
-//! The control plane's calls: replicas, operators and clients that ask where to go.
+//! The control plane's HTTP service: heartbeats of replicas, operators' calls and the directory.
 
 use super::dialect::{ControlCall, Dialect, HttpResponse};
 use super::directory::Directory;
@@ -25,21 +25,21 @@
 use topazmount_settings::{ControlSettings, Peer, SourceFiles};
 use topazmount_wire::ClusterKey;
 
-/// Time within which a call is answered; callers turn to another member after a second.
-const CALL_LIMIT: Duration = Duration::from_millis(900);
-/// Pause before the leader is looked for again.
-const LEADER_PAUSE: Duration = Duration::from_millis(40);
-/// How long clients may keep the directory's answer.
+/// Time limit for a call; callers turn to another member after a second.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+/// Delay before a request to the leader is tried again.
+const LEADER_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// How long clients may cache a directory response.
 const DIRECTORY_TTL: Duration = Duration::from_millis(600);
 
-/// Characters of a problem that are logged: it may repeat what was sent.
-const SHOWN_PROBLEM: usize = 200;
+/// Logged characters of a problem, since it may repeat the request's content.
+const MAX_LOGGED_PROBLEM_CHARS: usize = 200;
 
-/// What a control plane process needs.
+/// Options of a control plane process.
 pub struct ControlPlaneOptions {
-    /// Settings.
+    /// Settings of the process.
     pub settings: FleetSettings,
-    /// Names, formats and calls.
+    /// Defines headers, paths and body formats.
     pub dialect: Arc<dyn Dialect>,
 }
 
@@ -48,24 +48,25 @@
     handle: ControlHandle,
 }
 
-struct Calls {
+/// Handles the calls of replicas, operators and clients.
+struct CallHandler {
     executor: Executor,
     dialect: Arc<dyn Dialect>,
     key: ClusterKey,
     member: LocalMember,
     directory: Directory,
     leaders: Mutex<HashMap<SocketAddr, ControlClient>>,
-    /// Port at which all members answer replicas and operators.
+    /// Port at which all members serve replicas and operators.
     control_port: Option<u16>,
     metrics: Arc<Metrics>,
-    foreign: Arc<ExternalLog>,
+    external_log: Arc<ExternalLog>,
 }
 
 impl ControlPlane {
     /// Starts the member and its listeners.
     ///
     /// # Errors
-    /// When settings lack something, an address can't be bound, or the durable state can't be used.
+    /// If a required setting is missing, an address can't be bound or the stored state can't be used.
     pub async fn start(executor: &Executor, options: ControlPlaneOptions) -> Result<Self> {
         let ControlPlaneOptions { settings, dialect } = options;
         let key = ClusterKey::from_text(&settings.cluster_key);
@@ -83,8 +84,8 @@
         let member = handle.local();
         let directory = Directory::default();
         let metrics = Arc::new(Metrics::default());
-        let foreign = Arc::new(ExternalLog::new(metrics.clone()));
-        let calls = Arc::new(Calls {
+        let external_log = Arc::new(ExternalLog::new(metrics.clone()));
+        let calls = Arc::new(CallHandler {
             executor: executor.clone(),
             dialect: dialect.clone(),
             key: key.clone(),
@@ -93,7 +94,7 @@
             leaders: Mutex::default(),
             control_port: settings.listen.control.map(|address| address.port()),
             metrics,
-            foreign: foreign.clone(),
+            external_log: external_log.clone(),
         });
         if let Some(address) = settings.listen.metrics {
             let calls = calls.clone();
@@ -106,23 +107,28 @@
         for address in [settings.listen.control, settings.listen.directory].into_iter().flatten() {
             http_service::serve(executor, address, calls.clone()).await?;
         }
-        let sender = orders::Sender { member, dialect, holder: settings.name.clone(), foreign };
+        let sender = orders::OrderSender {
+            member,
+            dialect,
+            leader: settings.name.clone(),
+            external_log: external_log,
+        };
         executor.spawn(orders::run(executor.clone(), actions, sender)).detach();
         let watcher = Watcher::new(executor, Clock::start(), key, Seeds::new(vec![internal]), true);
-        let (_, no_nudges) = async_channel::bounded(1);
-        executor.spawn(watcher.run(directory, no_nudges)).detach();
+        let (_, no_report_requests) = async_channel::bounded(1);
+        executor.spawn(watcher.run(directory, no_report_requests)).detach();
         log::info!("control: event=start name={} zone={}", settings.name, settings.zone);
         Ok(ControlPlane { handle })
     }
 
-    /// Takes changed settings into use: the seeds. Addresses and names stay until the next start.
+    /// Applies changed seeds. Other settings only change at the next start.
     pub fn reload(&self, settings: &FleetSettings) {
         self.handle.set_seeds(&settings.seed_peer_addresses());
         log::info!("control: event=reload seeds={:?}", settings.seeds);
     }
 
-    /// Waits until the member has stopped by itself.
-    pub async fn failed(&self) {
+    /// Waits until the member stops because of a failure.
+    pub async fn wait_for_failure(&self) {
         self.handle.failed().await;
     }
 
@@ -135,17 +141,17 @@
 
 fn own_ip(settings: &FleetSettings) -> Result<IpAddr> {
     let listen = settings.listen.control.or(settings.listen.directory);
-    let listen = listen.ok_or_else(|| eyre!("listen.control: a control member needs it"))?;
+    let listen = listen.ok_or_else(|| eyre!("listen.control: required by a control member"))?;
     Ok(if listen.ip().is_unspecified() { Ipv4Addr::LOCALHOST.into() } else { listen.ip() })
 }
 
-/// Members are named by their internal addresses: nothing else is known of the founding ones, and
-/// a member that lost its disk comes back at the same address.
+/// Members are named by their internal addresses, which are all that is known of the initial ones. A
+/// member that lost its disk returns at the same address.
 fn member_settings(settings: &FleetSettings, internal: SocketAddr) -> Result<ControlSettings> {
     let data_folder = settings
         .data_folder
         .clone()
-        .ok_or_else(|| eyre!("data_folder: a control member needs a disk"))?;
+        .ok_or_else(|| eyre!("data_folder: required by a control member"))?;
     let peer = |address: SocketAddr| Peer { name: address.to_string(), address };
     Ok(ControlSettings {
         name: internal.to_string(),
@@ -157,54 +163,60 @@
     })
 }
 
-impl Service for Calls {
-    async fn answer(&self, head: RequestHead, body: Vec<u8>) -> HttpResponse {
-        let began = Instant::now();
+impl Service for CallHandler {
+    async fn handle(&self, head: RequestHead, body: Vec<u8>) -> HttpResponse {
+        let started_at = Instant::now();
         let call = self.dialect.parse_control_call(&head, &body);
         let name = call.name();
-        let answer = self.take(call).await;
-        self.metrics.call(name, answer.status, began.elapsed());
-        answer
+        let response = self.handle(call).await;
+        self.metrics.record_call(name, response.status, started_at.elapsed());
+        response
     }
 }
 
-impl Calls {
-    async fn take(&self, call: ControlCall) -> HttpResponse {
+impl CallHandler {
+    async fn handle(&self, call: ControlCall) -> HttpResponse {
         match call {
             ControlCall::Heartbeat(report) => {
                 let id = report.instance.id.clone();
-                let answer = self.ask(FleetRequest::Heartbeat(report)).await;
-                match answer {
+                let response = self.ask(FleetRequest::Heartbeat(report)).await;
+                match response {
                     Some((FleetResponse::Foreign(cause), _)) => {
-                        self.foreign.note("heartbeat_foreign", &id, cause.name());
+                        self.external_log.record("heartbeat_foreign", &id, cause.name());
                         self.dialect.message_response(409, cause.name())
                     }
                     Some((FleetResponse::Superseded, leader)) => {
-                        self.foreign.note("heartbeat_superseded", &id, "it left, or was replaced");
-                        self.dialect.heartbeat_response(self.control_of(leader))
+                        self.external_log.record(
+                            "heartbeat_superseded",
+                            &id,
+                            "it left, or was replaced",
+                        );
+                        self.dialect.heartbeat_response(self.control_address(leader))
+                    }
+                    Some((_, leader)) => {
+                        self.dialect.heartbeat_response(self.control_address(leader))
                     }
-                    Some((_, leader)) => self.dialect.heartbeat_response(self.control_of(leader)),
                     None => self.unavailable(),
                 }
             }
-            ControlCall::Depart(id, start) => self.change(FleetRequest::Depart(id, start)).await,
+            ControlCall::Depart(id, start) => self.submit(FleetRequest::Depart(id, start)).await,
             ControlCall::External { call, id, reason } => {
-                self.foreign.note(call.external_event(), &id, reason);
+                self.external_log.record(call.external_event(), &id, reason);
                 self.dialect
                     .message_response(400, &format!("no {} of a replica: {reason}", call.name()))
             }
             ControlCall::PutDocument(document) => {
                 let version = document.version;
-                let answer = self.change(FleetRequest::PutDocument(document)).await;
+                let response = self.submit(FleetRequest::PutDocument(document)).await;
                 log::info!(
                     "control: event=configuration version={version} status={}",
-                    answer.status
+                    response.status
                 );
-                answer
+                response
             }
             ControlCall::PublishWeights { model, version } => {
                 log::info!("control: event=weights_named model={model} version={version}");
-                self.change(FleetRequest::NameWeights { model, version }).await
+                self.submit(FleetRequest::NameWeights { model, version }).await
             }
             ControlCall::ReadDocument => match self.ask(FleetRequest::ReadDocument).await {
                 Some((FleetResponse::Document(Some(document)), _)) => {
@@ -225,40 +237,40 @@
             ControlCall::Readiness => self.dialect.message_response(200, "ready"),
             ControlCall::Unknown => self.dialect.message_response(404, "no such call"),
             ControlCall::Malformed(problem) => {
-                let shown: String = problem.chars().take(SHOWN_PROBLEM).collect();
+                let shown: String = problem.chars().take(MAX_LOGGED_PROBLEM_CHARS).collect();
                 log::info!("control: event=refused problem={shown:?}");
                 self.dialect.message_response(400, &problem)
             }
         }
     }
 
-    /// All figures, those of the group as this member sees it now.
+    /// Renders all metrics, with the member's current view of the group.
     async fn render_metrics(&self) -> String {
-        match self.member.ask(Request::Status, CALL_LIMIT).await {
-            Ok(Response::Status(status)) => self.note_group(&status),
+        match self.member.ask(Request::Status, CALL_TIMEOUT).await {
+            Ok(Response::Status(status)) => self.record_member_status(&status),
             other => log::warn!("control: event=no_status problem={other:?}"),
         }
-        self.note_plans();
-        self.metrics.set_messages(self.member.meter());
+        self.record_rollouts();
+        self.metrics.set_message_totals(self.member.meter());
         self.metrics.render()
     }
 
-    fn note_plans(&self) {
+    fn record_rollouts(&self) {
         let plans = self.member.plans();
         let sum = |of: fn(&RolloutEvent) -> usize| plans.iter().map(of).sum::<usize>() as i64;
-        self.metrics.set_state("rollout_left", sum(|event| event.left));
-        self.metrics.set_state("rollout_late", sum(|event| event.plan.late));
-        self.metrics.set_state("rollout_at_once", sum(|event| event.plan.width));
+        self.metrics.set_gauge("rollout_left", sum(|event| event.left));
+        self.metrics.set_gauge("rollout_late", sum(|event| event.plan.late));
+        self.metrics.set_gauge("rollout_at_once", sum(|event| event.plan.width));
     }
 
-    fn note_group(&self, status: &MemberStatus) {
+    fn record_member_status(&self, status: &MemberStatus) {
         let standing = match status.standing {
             Standing::Outside => 0,
             Standing::Learner => 1,
             Standing::Voter => 2,
         };
         let count = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
-        let figures = [
+        let gauges = [
             ("standing", standing),
             ("standing_s", status.standing_for.as_secs() as i64),
             ("leads", i64::from(status.is_leader)),
@@ -269,8 +281,8 @@
             ("doubled_voters", count(status.doubled_voters())),
             ("answering_voters", count(status.answering_voters())),
         ];
-        for (of, value) in figures {
-            self.metrics.set_state(of, value);
+        for (name, value) in gauges {
+            self.metrics.set_gauge(name, value);
         }
     }
 
@@ -278,41 +290,41 @@
         self.dialect.message_response(503, "the control group can't answer now")
     }
 
-    async fn change(&self, request: FleetRequest) -> HttpResponse {
+    async fn submit(&self, request: FleetRequest) -> HttpResponse {
         match self.ask(request).await {
             Some(_) => self.dialect.message_response(200, "done"),
             None => self.unavailable(),
         }
     }
 
-    /// Asks this member and, where another one leads, that one, until the time of a call is over.
-    /// All requests are safe to send again. Returns the leader's internal address too where it is
-    /// another member.
+    /// Sends a request to this member or, if another one leads, to the leader, and retries until the
+    /// call times out; all requests are idempotent. Also returns the leader's internal address if it
+    /// is another member.
     async fn ask(&self, request: FleetRequest) -> Option<(FleetResponse, Option<SocketAddr>)> {
-        let ends_at = Instant::now() + CALL_LIMIT;
+        let deadline = Instant::now() + CALL_TIMEOUT;
         let request = Request::Fleet(request);
         let mut leader: Option<SocketAddr> = None;
         loop {
-            let left = ends_at.checked_duration_since(Instant::now())?;
+            let remaining = deadline.checked_duration_since(Instant::now())?;
             let response = match leader {
-                None => self.member.ask(request.clone(), left).await,
-                Some(address) => self.leader_client(address).ask(request.clone(), left).await,
+                None => self.member.ask(request.clone(), remaining).await,
+                Some(address) => self.leader_client(address).ask(request.clone(), remaining).await,
             };
             match response {
-                Ok(Response::Fleet(answer)) => return Some((answer, leader)),
+                Ok(Response::Fleet(response)) => return Some((response, leader)),
                 Ok(Response::NotLeader(Some(info))) => {
-                    let named = info.address.parse().ok();
-                    let is_new = named != leader;
-                    leader = named;
+                    let reported = info.address.parse().ok();
+                    let is_new = reported != leader;
+                    leader = reported;
                     if !is_new {
-                        async_io::Timer::after(LEADER_PAUSE).await;
+                        async_io::Timer::after(LEADER_RETRY_DELAY).await;
                     }
                 }
                 _ => {
                     if let Some(address) = leader.take() {
                         self.leaders.lock().unwrap().remove(&address);
                     }
-                    async_io::Timer::after(LEADER_PAUSE).await;
+                    async_io::Timer::after(LEADER_RETRY_DELAY).await;
                 }
             }
         }
@@ -327,8 +339,8 @@
             .clone()
     }
 
-    /// Where the leader answers replicas: all members use the same port.
-    fn control_of(&self, leader: Option<SocketAddr>) -> Option<String> {
+    /// Address at which the leader serves replicas; all members use the same port.
+    fn control_address(&self, leader: Option<SocketAddr>) -> Option<String> {
         Some(format!("{}:{}", leader?.ip(), self.control_port?))
     }
 }
--- a/crates/topazmount/src/fleet/crash_watch.rs
+++ b/crates/topazmount/src/fleet/crash_watch.rs
@@ -1,9 +1,10 @@
-//! Looks at replicas at which connections broke under requests, until it is known whether they have ended.
+//! Checks whether replicas whose connections broke while they served requests have ended.
 //!
-//! A replica that has ended is told by its machine, which refuses connections; but the process that listens may outlive the
-//! one that works by some moments. Where the next incarnation listens before a look, control tells of it.
+//! An ended replica's machine refuses connections, but a listening process may outlive the serving one
+//! for a moment, so the check is repeated. If the next incarnation listens before a check, the control
+//! group reports it.
 
-use super::gateway::Shared;
+use super::gateway::SharedState;
 use crate::Executor;
 use crate::http1::is_refused;
 use async_channel::Receiver;
@@ -13,77 +14,82 @@
 use std::time::Duration;
 use topazmount_types::Instance;
 
-/// Time for a replica to refuse a connection. A process that has ended is refused for by its machine, which
-/// takes the way there and back; one without power, behind a cut or at work says nothing in it.
-pub(super) const REFUSAL_LIMIT: Duration = Duration::from_millis(100);
-/// Pauses before the looks that follow the first one, which is right after the break. With the first look alone three of 74
-/// crashes were seen where listeners outlived workers by up to 50 ms.
-const PAUSES: [Duration; 4] = [
+/// Time for a machine to refuse a connection to an ended process. A lost machine, a network partition or
+/// a busy process give no refusal.
+pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Delays before the checks that follow the first one, which is made right after the break.
+const RECHECK_DELAYS: [Duration; 4] = [
     Duration::from_millis(30),
     Duration::from_millis(100),
     Duration::from_millis(400),
     Duration::from_millis(1_200),
 ];
-/// Replicas looked at at a time; at a loss of connections to all of them the others are left to control's word.
-const MOST_WATCHED: usize = 32;
-/// Replicas that wait to be looked at.
-pub(super) const MOST_WAITING: usize = 256;
+/// Replicas watched at a time; for others only the control group's reports count.
+const MAX_WATCHED: usize = 32;
+/// Replicas queued to be watched.
+pub(super) const MAX_PENDING: usize = 256;
 
 /// Names of incarnations.
 type Watched = Arc<Mutex<HashSet<String>>>;
 
-/// Looks at each replica that is named, for ever.
-pub(super) async fn run(executor: Executor, shared: Arc<Shared>, broken: Receiver<Instance>) {
+/// Watches the received replicas, forever.
+pub(super) async fn run(
+    executor: Executor,
+    shared: Arc<SharedState>,
+    broken_connections: Receiver<Instance>,
+) {
     let watched = Watched::default();
-    while let Ok(instance) = broken.recv().await {
+    while let Ok(instance) = broken_connections.recv().await {
         {
-            let mut all = watched.lock().unwrap();
-            if all.len() >= MOST_WATCHED || !all.insert(instance.incarnation_name()) {
+            let mut names = watched.lock().unwrap();
+            if names.len() >= MAX_WATCHED || !names.insert(instance.incarnation_name()) {
                 continue;
             }
         }
         let (shared, watched) = (shared.clone(), watched.clone());
-        let looking = async move {
-            look(&shared, &instance).await;
+        let watching = async move {
+            watch(&shared, &instance).await;
             watched.lock().unwrap().remove(&instance.incarnation_name());
         };
-        executor.spawn(looking).detach();
+        executor.spawn(watching).detach();
     }
 }
 
-async fn look(shared: &Shared, instance: &Instance) {
+/// Checks a suspected replica until it has ended or is no longer suspected.
+async fn watch(shared: &SharedState, instance: &Instance) {
     let name = instance.incarnation_name();
-    for pause in PAUSES {
-        Timer::after(pause).await;
+    for delay in RECHECK_DELAYS {
+        Timer::after(delay).await;
         if !shared.knowledge.lock().unwrap().crashes().is_suspected(&name) {
             return;
         }
-        if is_ended(shared, instance).await {
+        if check_ended(shared, instance).await {
             return;
         }
     }
 }
 
-/// Looks once; where the replica has ended, what broke off at it counts as crashes.
-pub(super) async fn is_ended(shared: &Shared, instance: &Instance) -> bool {
+/// Checks once whether a replica has ended; if so, the requests that broke off there count as crashes.
+pub(super) async fn check_ended(shared: &SharedState, instance: &Instance) -> bool {
     let Ok(address) = instance.address.parse() else { return false };
-    if !is_refused(address, REFUSAL_LIMIT).await {
+    if !is_refused(address, CONNECT_TIMEOUT).await {
         return false;
     }
     let now = shared.clock.now();
     let name = instance.incarnation_name();
     let requests = shared.knowledge.lock().unwrap().crashes().ended(&name, now);
     if requests > 0 {
-        tell(shared, &instance.id, requests, "refused");
+        report_crash(shared, &instance.id, requests, "refused");
     }
     true
 }
 
-/// Tells control, and whoever reads the log, of a crash under requests.
-pub(super) fn tell(shared: &Shared, instance: &str, requests: usize, by: &str) {
-    shared.metrics.event("crash_seen");
-    shared.report_at_once();
-    shared.journal.line(|| {
-        format!("gateway: event=crash_seen instance={instance} requests={requests} by={by}")
+/// Reports a crash that happened while requests were served to the control group, the log and the
+/// metrics.
+pub(super) fn report_crash(shared: &SharedState, instance: &str, requests: usize, evidence: &str) {
+    shared.metrics.count_event("crash_seen");
+    shared.request_report();
+    shared.event_log.info(|| {
+        format!("gateway: event=crash_seen instance={instance} requests={requests} by={evidence}")
     });
 }
--- a/crates/topazmount/src/fleet/dialect.rs
+++ b/crates/topazmount/src/fleet/dialect.rs
@@ -1,4 +1,4 @@
-//! What a platform's calls look like. An implementation translates and decides nothing.
+//! Headers, paths and body formats of a platform. An implementation translates and decides nothing.
 
 use crate::http1::{RequestHead, ResponseHead};
 use std::time::Duration;
@@ -9,66 +9,66 @@
 use topazmount_gateway::{Catalog, CatalogProblem, Prompt, StoreEvents};
 use topazmount_types::{ErrorKind, InstanceId, Start};
 
-/// What a client's request says of itself.
+/// Metadata of a client's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestMetadata {
     /// The client's identifier of the request.
     pub id: String,
-    /// How long the client waits.
+    /// How long the client waits for the response.
     pub deadline: Option<Duration>,
-    /// API key.
+    /// API key of the client.
     pub api_key: Option<String>,
-    /// Model.
+    /// Requested model.
     pub model: Option<String>,
-    /// Prompt, for a language model.
+    /// Prompt, for requests to a language model.
     pub prompt: Option<Prompt>,
-    /// Tokens in and most tokens out, together, where it tells them.
+    /// Input tokens plus maximum output tokens, if given.
     pub tokens: Option<u32>,
-    /// Last event that the client has, when it resumes a stream.
+    /// Last event that the client received, if it resumes a stream.
     pub last_event_id: Option<String>,
 }
 
-/// What a gateway adds to a request that it sends to a replica.
+/// Metadata that a gateway adds to a request to a replica.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UpstreamMetadata {
-    /// Replica that must serve it.
+    /// Replica that must serve the request.
     pub instance: InstanceId,
-    /// Time that is left.
+    /// Time until the request's deadline.
     pub remaining_time: Duration,
-    /// Tenant that holds the client's key.
+    /// Tenant that owns the client's API key.
     pub tenant: Option<String>,
-    /// Name of the cache that the request may share; `None` for the common one.
+    /// Salt of the cache that the request may share; `None` for the common cache.
     pub cache_salt: Option<String>,
-    /// Version of the model's weights that the replica must hold.
+    /// Version of the model's weights that the replica must have loaded.
     pub expected_version: Option<u32>,
-    /// Where the replica takes parts of the prompt that it lacks.
+    /// Address from which the replica fetches prompt parts that it has not cached.
     pub fetch_from: Option<String>,
-    /// Store to which the replica sends the parts once they are read.
+    /// Address of the store to which the replica saves the prompt parts that it has computed.
     pub save_to: Option<String>,
-    /// Last event that must not come again.
+    /// Last event that the client already has.
     pub last_event_id: Option<String>,
-    /// Rank, 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: Option<u32>,
 }
 
-/// What a replica's answer says of itself.
+/// Metadata of a replica's response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseMetadata {
-    /// Identifier of the request that it answers.
+    /// Identifier of the request that the response belongs to.
     pub request_id: Option<String>,
-    /// Whether it carries the replica's signature.
+    /// Whether it has the seal header by which replicas mark their own responses.
     pub is_sealed: bool,
-    /// Whether it says that the request was not run.
+    /// Whether it states that the request was not run.
     pub is_not_run: bool,
-    /// Whether it says that it is not the replica, or does not hold the version, that was expected.
+    /// Whether the request expected another replica or another version of weights.
     pub is_misdirected: bool,
-    /// Replica that answered, where it says so.
+    /// Replica that sent the response, if given.
     pub instance: Option<InstanceId>,
-    /// Version of the weights that it was made with.
+    /// Version of the weights that produced it.
     pub weights_version: Option<u32>,
-    /// What it asks of its caller.
+    /// Requests to the caller for fewer requests.
     pub pushback: Pushback,
-    /// Whether its body is encoded, which no client asked for.
+    /// Whether it has a content encoding.
     pub is_encoded: bool,
 }
 
@@ -77,40 +77,40 @@
 pub enum ControlCall {
     /// A replica's heartbeat.
     Heartbeat(InstanceReport),
-    /// A replica leaves; its incarnation.
+    /// A replica's departure: its identifier and start.
     Depart(InstanceId, Start),
-    /// Said in a replica's name by another writer, who names nothing to use: it changes nothing.
+    /// A call in a replica's name that no replica sends; it changes nothing.
     External {
-        /// What it was sent as.
+        /// Kind of call.
         call: ReplicaCall,
-        /// Identifier under which it came, of any length and any characters.
+        /// Identifier in the call; may have any length and any characters.
         id: String,
-        /// What gave it away, as a fixed word.
+        /// Why no replica can have sent it, as a fixed word.
         reason: &'static str,
     },
-    /// A new catalog: the document, which can be read and is valid.
+    /// A new catalog document, already validated.
     PutDocument(Document),
-    /// The newest catalog.
+    /// Reads the newest catalog document.
     ReadDocument,
-    /// A version of a model's weights.
+    /// Publishes a version of a model's weights.
     PublishWeights {
-        /// Model.
+        /// Model that the weights belong to.
         model: String,
-        /// Version.
+        /// Published version.
         version: u32,
     },
-    /// Addresses of gateways near a zone.
+    /// Asks for addresses of gateways near a zone.
     Resolve {
         /// The client's zone.
         zone: String,
         /// The client's region.
         region: String,
     },
-    /// Whether the process is ready.
+    /// Asks whether the process is ready.
     Readiness,
-    /// No such call.
+    /// Unknown method or path.
     Unknown,
-    /// The call can't be understood.
+    /// The body is invalid, for this reason.
     Malformed(String),
 }
 
@@ -132,7 +132,7 @@
     }
 }
 
-/// What replicas tell the control plane.
+/// Calls of replicas to the control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaCall {
     /// A heartbeat.
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Name of the event that such a call came from another writer.
+    /// Event for a call of this kind from an external writer, in logs and metrics.
     pub fn external_event(self) -> &'static str {
         match self {
             ReplicaCall::Heartbeat => "heartbeat_foreign",
@@ -159,89 +159,89 @@
     }
 }
 
-/// An answer of the control plane or the directory.
+/// An HTTP response of a gateway, the control plane or the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpResponse {
-    /// Status.
+    /// Status code.
     pub status: u16,
-    /// Content type of the body, where there is one.
+    /// Content type of the body, if there is one.
     pub content_type: Option<&'static str>,
-    /// Further fields.
+    /// Further headers.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// A call to a replica.
+/// An HTTP request to a replica or a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpRequest {
-    /// Method.
+    /// Request method.
     pub method: &'static str,
-    /// Target.
+    /// Request target: path and query.
     pub target: String,
-    /// Fields.
+    /// Request headers.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// A platform's names, formats and calls.
+/// Translation between a platform's HTTP calls and the terms of this crate.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads a client's request.
+    /// Reads the metadata of a client's request.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Which header is missing or malformed.
     fn request_metadata(&self, head: &RequestHead) -> Result<RequestMetadata, String>;
 
-    /// Whether a client's field must not reach a replica, since only the gateway sets it.
+    /// Whether only the gateway may set a header; it is removed from clients' requests.
     fn is_gateway_header(&self, name: &str) -> bool;
 
-    /// Fields that a gateway sets on a request to a replica.
+    /// Headers that a gateway sets on a request to a replica.
     fn upstream_headers(&self, upstream: &UpstreamMetadata) -> Vec<(String, String)>;
 
-    /// Reads a replica's answer.
+    /// Reads the metadata of a replica's response.
     fn response_metadata(&self, head: &ResponseHead) -> ResponseMetadata;
 
-    /// Identifier of an event of a stream.
+    /// Identifier of a stream's event.
     fn event_id(&self, event: &[u8]) -> Option<String>;
 
-    /// Version of weights that an event of a stream says it is the first to be made with.
+    /// New version of weights, if the version changes with this event of a stream.
     fn event_weights_version(&self, event: &[u8]) -> Option<u32>;
 
-    /// Answer for a refusal of a client's request.
+    /// Response for a client's request that failed or was refused.
     fn error_response(&self, kind: ErrorKind, retry_after: Option<Duration>) -> HttpResponse;
 
     /// Reads a catalog document.
     ///
     /// # Errors
-    /// Why it is invalid.
+    /// Why the document is invalid.
     fn parse_catalog(&self, document: &[u8]) -> Result<Catalog, CatalogProblem>;
 
     /// Reads a call to the control plane, the directory or the readiness address.
     fn parse_control_call(&self, head: &RequestHead, body: &[u8]) -> ControlCall;
 
-    /// Answer to a heartbeat; `next` is where later ones are answered fastest.
-    fn heartbeat_response(&self, next: Option<String>) -> HttpResponse;
+    /// Response to a heartbeat; `leader` is the address that later heartbeats should go to.
+    fn heartbeat_response(&self, leader: Option<String>) -> HttpResponse;
 
-    /// Answer with the newest document.
+    /// Response with the newest catalog document.
     fn document_response(&self, document: &Document) -> HttpResponse;
 
-    /// Answer of the directory; empty lists are refused before.
+    /// Response of the directory with at least one gateway.
     fn directory_response(&self, gateways: &[GatewayReport], ttl: Duration) -> HttpResponse;
 
-    /// Answer without content.
+    /// Response with a short message.
     fn message_response(&self, status: u16, message: &str) -> HttpResponse;
 
-    /// An order to a replica. `holder` names who gives it.
+    /// Call that sends an order to a replica; `leader` names the sender.
     fn order_call(&self, order: &WeightsOrder, leader: &str) -> HttpRequest;
 
-    /// How an order ended.
+    /// Outcome of an order by the response's status code.
     fn order_outcome(&self, status: u16) -> OrderEnd;
 
-    /// A question for a replica's report.
+    /// Call that asks a replica for its report.
     fn report_call(&self) -> HttpRequest;
 
-    /// A question for a store's events from a position on, which may be held for so long.
+    /// Call that asks a store for events from `position` on; the store may hold the response for `hold`.
     fn store_events_call(&self, position: u64, hold: Duration) -> HttpRequest;
 
     /// Reads a page of a store's events.
--- a/crates/topazmount/src/fleet/exchange/choose.rs
+++ b/crates/topazmount/src/fleet/exchange/choose.rs
@@ -1,4 +1,4 @@
-//! Which replica a request goes to next: by what this gateway knows, or as a coordinator says.
+//! Chooses the replica for a request's next attempt, locally or by asking a shard's coordinator.
 
 use super::limit::Grant;
 use super::{Exchange, InFlight};
@@ -7,28 +7,28 @@
 use std::time::Duration;
 use topazmount_gateway::{Choice, PromptEvent, RequestPlan, Shard};
 
-/// Time that a coordinator has for its answer: the way there and back, a few milliseconds, and a moment
-/// in which its machine is busy. Then the next one is asked, and after it this gateway decides by itself.
-const ANSWER_LIMIT: Duration = Duration::from_millis(60);
+/// Time for a coordinator to respond. After it the next one is asked, and then the gateway chooses
+/// by itself.
+const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Replicas that name a limit of which one request has grants asked, in one choice.
-const MOST_GRANTS_ASKED: usize = 8;
+/// Replicas with a request limit that are tried for a grant in one choice.
+const MAX_GRANT_REQUESTS: usize = 8;
 
-/// No coordinator of a shard answered.
-struct Unanswered;
+/// No coordinator of a shard responded.
+struct NoCoordinator;
 
 impl<'e> Exchange<'e> {
-    /// Chooses a replica and counts the request there; other gateways are told.
+    /// Chooses a replica, counts the request as in flight there and tells other gateways.
     pub(super) async fn choose(&self, plan: &RequestPlan) -> Option<InFlight<'e>> {
         let (choice, grant) = self.choose_within_limits(plan).await?;
         let request = self.choice_request(plan);
         let now = self.shared.clock.now();
-        let news = {
+        let update = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
             knowledge.balancer().sent(&choice, &request, now);
             knowledge.news(&choice, &request, PromptEvent::Sent, now)
         };
-        self.shared.peers.tell(news);
+        self.shared.peers.send_load_update(update);
         Some(InFlight {
             shared: self.shared,
             choice,
@@ -38,45 +38,45 @@
         })
     }
 
-    /// Chooses until a replica has no limit, or one within which the request is granted.
+    /// Chooses until a replica has no request limit or the request is granted within its limit.
     async fn choose_within_limits(
         &self,
         plan: &RequestPlan,
     ) -> Option<(Choice, Option<Grant<'e>>)> {
-        for _ in 0..MOST_GRANTS_ASKED {
+        for _ in 0..MAX_GRANT_REQUESTS {
             let choice = match self.choose_in_shards(plan).await {
                 Some(choice) => choice,
-                None => self.choose_alone(plan)?,
+                None => self.choose_locally(plan)?,
             };
             if choice.limit.is_none() {
                 return Some((choice, None));
             }
-            if let Some(grant) = self.ask_send_grant(&choice).await {
+            if let Some(grant) = self.acquire_send_grant(&choice).await {
                 return Some((choice, Some(grant)));
             }
         }
         None
     }
 
-    fn choose_alone(&self, plan: &RequestPlan) -> Option<Choice> {
+    fn choose_locally(&self, plan: &RequestPlan) -> Option<Choice> {
         let request = self.choice_request(plan);
         let now = self.shared.clock.now();
         self.shared.knowledge.lock().unwrap().choose(&request, now)
     }
 
-    /// Asks the shards of the prompt in order until one has a replica that can begin soon; else the
-    /// best of their offers.
+    /// Asks the prompt's shards in order until one offers a replica that is not overloaded;
+    /// otherwise returns the offer with the lowest estimated time to the first token.
     async fn choose_in_shards(&self, plan: &RequestPlan) -> Option<Choice> {
         let request = self.choice_request(plan);
         let now = self.shared.clock.now();
         let shards = self.shared.knowledge.lock().unwrap().shards_for(&request, now);
         let mut best: Option<Choice> = None;
         for shard in shards {
-            let choice = match self.ask_shard(plan, shard).await {
+            let choice = match self.choose_in_shard(plan, shard).await {
                 Ok(Some(choice)) => choice,
                 Ok(None) => continue,
-                // The time for further questions has been spent.
-                Err(Unanswered) => break,
+                // The timeouts have used up the time for further requests.
+                Err(NoCoordinator) => break,
             };
             if !self.shared.knowledge.lock().unwrap().is_overloaded(&choice, &request) {
                 return Some(choice);
@@ -88,13 +88,13 @@
         best
     }
 
-    /// Asks the coordinators of a shard in order until one answers; `None` where it knows no replica that
-    /// this gateway may ask.
-    async fn ask_shard(
+    /// Asks the coordinators of a shard in order until one responds; `None` if it offers no replica
+    /// that this gateway may use.
+    async fn choose_in_shard(
         &self,
         plan: &RequestPlan,
         shard: Shard,
-    ) -> Result<Option<Choice>, Unanswered> {
+    ) -> Result<Option<Choice>, NoCoordinator> {
         let request = self.choice_request(plan);
         let service = &self.admission.service;
         let now = self.shared.clock.now();
@@ -107,16 +107,16 @@
                     return Ok(knowledge.choose_within(&request, Some(shard), now));
                 }
             }
-            if let Some(answer) = self.ask_coordinator(plan, shard, coordinator).await {
-                return Ok(answer);
+            if let Some(choice) = self.request_choice(plan, shard, coordinator).await {
+                return Ok(choice);
             }
         }
-        Err(Unanswered)
+        Err(NoCoordinator)
     }
 
-    /// Asks one coordinator: `None` where it does not answer, else its choice if it has one that this
-    /// gateway may follow.
-    async fn ask_coordinator(
+    /// Asks one coordinator: `None` if it does not respond, otherwise its choice, if it has one that
+    /// this gateway may use.
+    async fn request_choice(
         &self,
         plan: &RequestPlan,
         shard: Shard,
@@ -125,17 +125,17 @@
         let request = self.choice_request(plan);
         let now = self.shared.clock.now();
         let question = self.shared.knowledge.lock().unwrap().question(&request, shard, now)?;
-        let limit = ANSWER_LIMIT.min(self.left());
-        let answer = self.shared.peers.ask(coordinator, question, limit).await;
+        let timeout = COORDINATOR_TIMEOUT.min(self.remaining_time());
+        let response = self.shared.peers.request_choice(coordinator, question, timeout).await;
         let now = self.shared.clock.now();
         let mut knowledge = self.shared.knowledge.lock().unwrap();
-        let Some(offer) = answer else {
+        let Some(offer) = response else {
             knowledge.gateways().note_silent(coordinator, now);
             drop(knowledge);
-            self.shared.metrics.event("coordinator_silent");
+            self.shared.metrics.count_event("coordinator_silent");
             log::info!(
                 "gateway: event=coordinator_silent coordinator={coordinator} request={}",
-                self.tags.id
+                self.metadata.id
             );
             return None;
         };
--- a/crates/topazmount/src/fleet/exchange/connection.rs
+++ b/crates/topazmount/src/fleet/exchange/connection.rs
@@ -1,62 +1,61 @@
-//! Kept connections of an exchange: which one carries a request, and when one goes to rest.
+//! Takes connections to replicas from the pool and returns them.
 
-use super::super::pool::RestBounds;
-use super::{Carrier, Exchange};
+use super::super::pool::PoolLimits;
+use super::{Exchange, ReplicaConnection};
 use crate::http1::Wire;
 use std::time::Duration;
 use topazmount_gateway::{Choice, RequestPlan};
 
 impl Exchange<'_> {
-    /// A kept connection to the chosen replica, with the time that it rested, if one may carry this
-    /// request.
-    pub(super) async fn kept_connection(
+    /// Takes a pooled connection to the chosen replica that this request may use, with its idle time.
+    pub(super) async fn pooled_connection(
         &self,
         choice: &Choice,
         plan: &RequestPlan,
     ) -> Option<(Wire, Duration)> {
         let now = self.shared.clock.now();
         let service = &self.admission.service;
-        let may_use = |connection| {
+        let may_use = |idle| {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.connections().may_use(service, connection, plan.is_repeatable(), now)
+            knowledge.connections().may_use(service, idle, plan.is_repeatable(), now)
         };
         let incarnation = choice.instance.incarnation_name();
         let taken = self.shared.pool.take(&incarnation, now, may_use).await;
         let kind = if taken.is_some() { "connection_kept" } else { "connection_new" };
-        self.shared.metrics.event(kind);
+        self.shared.metrics.count_event(kind);
         taken
     }
 
-    /// Puts a connection to rest after a whole answer, if it may be used again.
-    pub(super) fn rest(&self, choice: &Choice, carrier: Carrier) {
-        let Carrier { wire, end, is_request_sent } = carrier;
+    /// Returns a connection to the pool after a complete response, if it may be reused.
+    pub(super) fn return_to_pool(&self, choice: &Choice, connection: ReplicaConnection) {
+        let ReplicaConnection { wire, keep_alive, is_request_sent } = connection;
         let service = &self.admission.service;
         let now = self.shared.clock.now();
-        let bounds = {
+        let limits = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            // Nothing is sent to an incarnation that has ended or leaves.
+            // No more requests go to an incarnation that has ended or is leaving.
             let balancer = knowledge.balancer();
-            let is_over = balancer.has_ended(choice) || balancer.is_leaving(choice, now);
-            let end = end.answer_end(&wire, is_request_sent);
-            if is_over || !knowledge.connections().may_keep(end) {
+            let is_gone = balancer.has_ended(choice) || balancer.is_leaving(choice, now);
+            let end = keep_alive.response_end(&wire, is_request_sent);
+            if is_gone || !knowledge.connections().may_keep(end) {
                 return;
             }
-            let longest = knowledge.connections().most_idle(service, true, now);
-            RestBounds { most: knowledge.most_kept(service), longest }
+            let max_idle = knowledge.connections().most_idle(service, true, now);
+            PoolLimits { max_connections: knowledge.most_kept(service), max_idle }
         };
-        self.shared.pool.put(&choice.instance.incarnation_name(), wire, end, bounds, now);
+        self.shared.pool.put(&choice.instance.incarnation_name(), wire, keep_alive, limits, now);
     }
 
-    /// Notes that a kept connection broke before any byte came.
-    pub(super) fn note_forgotten(&self, choice: &Choice, idle: Duration) {
+    /// Records that a pooled connection ended before any byte arrived.
+    pub(super) fn record_stale_connection(&self, choice: &Choice, idle: Duration) {
         let now = self.shared.clock.now();
         let service = &self.admission.service;
         self.shared.knowledge.lock().unwrap().connections().forgot(service, idle, now);
-        self.shared.metrics.event("connection_forgotten");
-        self.shared.journal.line(|| {
+        self.shared.metrics.count_event("connection_forgotten");
+        self.shared.event_log.info(|| {
             format!(
                 "gateway: event=connection_forgotten request={} instance={} idle_ms={}",
-                self.tags.id,
+                self.metadata.id,
                 choice.instance.id,
                 idle.as_millis()
             )
--- a/crates/topazmount/src/fleet/exchange/crash.rs
+++ b/crates/topazmount/src/fleet/exchange/crash.rs
@@ -1,4 +1,4 @@
-//! Tells a replica that ended under a request from a connection that broke.
+//! Distinguishes a replica that crashed while serving a request from a broken connection.
 
 use super::super::crash_watch;
 use super::Exchange;
@@ -6,47 +6,47 @@
 use topazmount_types::Time;
 
 impl Exchange<'_> {
-    /// Whether replicas crash under the request, so that it must not be sent on.
+    /// Whether the request is blocked because it crashes replicas.
     pub(super) fn is_blocked(&self) -> bool {
         let now = self.shared.clock.now();
         self.shared.knowledge.lock().unwrap().crashes().is_blocked(self.digest, now)
     }
 
-    /// After a connection broke under the request: suspects it, and looks whether its replica has ended. One request ended
-    /// ten replicas in ten tries where nothing of it outlived a try, and ends four at most now.
-    pub(super) async fn look_for_crash(&self, choice: &Choice, began: Time) {
+    /// Called after a connection broke while the replica served the request: records the suspicion and
+    /// checks whether the replica has ended.
+    pub(super) async fn check_for_crash(&self, choice: &Choice, started_at: Time) {
         let now = self.shared.clock.now();
-        let ran_for = now.since(began);
+        let ran_for = now.since(started_at);
         let instance = &choice.instance.id;
         let name = choice.instance.incarnation_name();
         let crashed = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            // Its end is planned, and says nothing of what it ran.
+            // A leaving replica ends as planned; the request did not crash it.
             if knowledge.balancer().is_leaving(choice, now) {
                 return;
             }
             knowledge.crashes().broke(self.digest, &name, ran_for, now);
-            // The next incarnation was known first.
+            // The next incarnation may have been seen already.
             let has_ended = knowledge.balancer().has_ended(choice);
             if has_ended { knowledge.crashes().ended(&name, now) } else { 0 }
         };
-        self.shared.journal.line(|| {
+        self.shared.event_log.info(|| {
             format!(
                 "gateway: event=broke_off request={} digest={} instance={instance} start={} ran_ms={}",
-                self.tags.id,
+                self.metadata.id,
                 self.digest,
                 choice.instance.start,
                 ran_for.as_millis()
             )
         });
         if crashed > 0 {
-            return crash_watch::tell(self.shared, instance, crashed, "next_incarnation");
+            return crash_watch::report_crash(self.shared, instance, crashed, "next_incarnation");
         }
-        if crash_watch::is_ended(self.shared, &choice.instance).await {
+        if crash_watch::check_ended(self.shared, &choice.instance).await {
             return;
         }
-        if self.shared.broken_at.try_send(choice.instance.clone()).is_err() {
-            self.shared.metrics.event("crash_watch_full");
+        if self.shared.broken_connections.try_send(choice.instance.clone()).is_err() {
+            self.shared.metrics.count_event("crash_watch_full");
         }
     }
 }
--- a/crates/topazmount/src/fleet/exchange/limit.rs
+++ b/crates/topazmount/src/fleet/exchange/limit.rs
@@ -1,7 +1,7 @@
-//! Asks whether a request is within the limits of its tenant and of its replica.
+//! Acquires grants for a request within the limits of its tenant and of its replica.
 
 use super::Exchange;
-use crate::fleet::gateway::Shared;
+use crate::fleet::gateway::SharedState;
 use crate::fleet::peers::send_grant_event;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,46 +9,44 @@
 use topazmount_gateway::{Choice, GrantAnswer, Granting, LimitNews, STRIPES, StripeId};
 use topazmount_types::Time;
 
-/// Time that a granter has for its answer: the way there and back, a few milliseconds, and a moment in which its
-/// machine is busy.
-const GRANT_LIMIT: Duration = Duration::from_millis(60);
-/// Time within which units of a request that has not run are given back. Later another gateway may grant.
-const GIVE_BACK_TIME: Duration = Duration::from_secs(1);
-/// Time after which a client should come back that is refused since no granter answers; up to as much is added, so that
-/// clients return one after another.
+/// Time for a granter to respond.
+const GRANT_TIMEOUT: Duration = Duration::from_millis(60);
+/// Time after a grant within which unused units are returned; later another gateway may be the granter.
+const RETURN_WINDOW: Duration = Duration::from_secs(1);
+/// Retry delay for clients that are refused because no granter responds. Up to the same time is added
+/// at random, so that clients don't retry all at once.
 const NO_GRANTER_WAIT: Duration = Duration::from_millis(300);
 
-/// Time for which a replica that names a limit is passed over where nobody grants of it.
-const NO_SEND_GRANT_PAUSE: Duration = Duration::from_millis(200);
-/// Least time for which one whose limit is used up is passed over; up to as much as the whole is added, so that gateways don't
-/// ask again at one moment.
-const LEAST_SPENT_PAUSE: Duration = Duration::from_millis(50);
+/// Time for which a replica with a request limit is not chosen if no granter responds.
+const NO_GRANTER_PAUSE: Duration = Duration::from_millis(200);
+/// Minimum time for which a replica is not chosen after its limit is used up.
+const MIN_EXHAUSTED_PAUSE: Duration = Duration::from_millis(50);
 
-/// Why a request must not run now.
+/// Why a request may not run now.
 pub(super) enum OverLimit {
-    /// Its tenant has used up its limit for so long.
-    Used(Duration),
-    /// Nobody could grant; it is worth a try after so long.
+    /// The tenant's limit is used up for this time.
+    Exhausted(Duration),
+    /// No granter responded; the client should retry after this time.
     NoGranter(Duration),
 }
 
-/// Units that a request was granted; given back when it is dropped, unless the request may have run.
+/// Units granted to a request. Returned on drop unless the request may have run.
 pub(super) struct Grant<'a> {
-    shared: &'a Shared,
-    from: Option<(Granting, StripeId)>,
+    shared: &'a SharedState,
+    source: Option<(Granting, StripeId)>,
     amount: u32,
-    at: Time,
+    granted_at: Time,
     may_have_run: AtomicBool,
 }
 
 impl Grant<'_> {
-    /// Takes the grant for one send; it is used only once.
+    /// Uses the grant for one send. Returns false if it has been used before.
     pub(super) fn take(&self) -> bool {
         !self.may_have_run.swap(true, Ordering::SeqCst)
     }
 
     /// Sets whether a replica may have run the request.
-    pub(super) fn set_used(&self, may_have_run: bool) {
+    pub(super) fn set_may_have_run(&self, may_have_run: bool) {
         self.may_have_run.store(may_have_run, Ordering::SeqCst);
     }
 }
@@ -56,53 +54,57 @@
 impl Drop for Grant<'_> {
     fn drop(&mut self) {
         let now = self.shared.clock.now();
-        let Some((granting, stripe)) = self.from else { return };
-        if self.may_have_run.load(Ordering::SeqCst) || now >= self.at + GIVE_BACK_TIME {
+        let Some((granting, stripe)) = self.source else { return };
+        if self.may_have_run.load(Ordering::SeqCst) || now >= self.granted_at + RETURN_WINDOW {
             return;
         }
         match granting {
             Granting::Own => {
                 self.shared.knowledge.lock().unwrap().give_back(stripe, self.amount, now);
             }
-            Granting::Other(granter) => self.shared.peers.give_back(granter, stripe, self.amount),
+            Granting::Other(granter) => {
+                self.shared.peers.return_units(granter, stripe, self.amount)
+            }
         }
     }
 }
 
 impl<'e> Exchange<'e> {
-    /// Has the request's units granted, by whichever stripe has them; `None` where nothing limits its tenant.
-    pub(super) async fn ask_limit(&self) -> Result<Option<Grant<'e>>, OverLimit> {
-        let counted =
-            self.shared.knowledge.lock().unwrap().counted(self.admission, self.tags.tokens);
-        let Some((tenant, amount)) = counted else { return Ok(None) };
-        let grant = |from, at| Grant {
+    /// Acquires the request's units from any stripe of the tenant's limit that has enough; `None` if
+    /// the tenant has no limit.
+    pub(super) async fn acquire_tenant_grant(&self) -> Result<Option<Grant<'e>>, OverLimit> {
+        let cost =
+            self.shared.knowledge.lock().unwrap().counted(self.admission, self.metadata.tokens);
+        let Some((tenant, amount)) = cost else { return Ok(None) };
+        let grant = |source, granted_at| Grant {
             shared: self.shared,
-            from,
+            source,
             amount,
-            at,
+            granted_at,
             may_have_run: AtomicBool::new(false),
         };
-        let first = rand::random_range(0..STRIPES);
-        let mut shortest: Option<Duration> = None;
-        for turn in 0..STRIPES {
-            let stripe = StripeId { owner: tenant, stripe: (first + turn) % STRIPES };
-            let asked_at = self.shared.clock.now();
-            let granting = self.shared.knowledge.lock().unwrap().granting(stripe, asked_at);
+        let first_stripe = rand::random_range(0..STRIPES);
+        let mut min_wait: Option<Duration> = None;
+        for offset in 0..STRIPES {
+            let stripe = StripeId { owner: tenant, stripe: (first_stripe + offset) % STRIPES };
+            let requested_at = self.shared.clock.now();
+            let granting = self.shared.knowledge.lock().unwrap().granting(stripe, requested_at);
             let Some(granting) = granting else { continue };
-            match self.ask_granter(granting, stripe, amount).await {
+            match self.request_tenant_grant(granting, stripe, amount).await {
                 Some(GrantAnswer::Granted) => {
-                    return Ok(Some(grant(Some((granting, stripe)), asked_at)));
+                    return Ok(Some(grant(Some((granting, stripe)), requested_at)));
                 }
                 Some(GrantAnswer::Over(wait)) => {
-                    shortest = Some(shortest.map_or(wait, |known| known.min(wait)));
+                    min_wait = Some(min_wait.map_or(wait, |known| known.min(wait)));
                 }
                 Some(GrantAnswer::NotHolder) | None => {}
             }
         }
-        self.spend_ungranted(tenant, amount, shortest).map(|at| Some(grant(None, at)))
+        self.spend_ungranted(tenant, amount, min_wait)
+            .map(|granted_at| Some(grant(None, granted_at)))
     }
 
-    async fn ask_granter(
+    async fn request_tenant_grant(
         &self,
         granting: Granting,
         stripe: StripeId,
@@ -115,25 +117,25 @@
             }
             Granting::Other(granter) => granter,
         };
-        let limit = GRANT_LIMIT.min(self.left());
-        let answer = self.shared.peers.ask_grant(granter, stripe, amount, limit).await;
-        if answer.is_none() {
-            self.note_silent_granter(granter);
+        let timeout = GRANT_TIMEOUT.min(self.remaining_time());
+        let response = self.shared.peers.request_grant(granter, stripe, amount, timeout).await;
+        if response.is_none() {
+            self.record_silent_granter(granter);
         }
-        answer
+        response
     }
 
-    fn note_silent_granter(&self, granter: SocketAddr) {
+    fn record_silent_granter(&self, granter: SocketAddr) {
         let now = self.shared.clock.now();
         self.shared.knowledge.lock().unwrap().note_silent_granter(granter, now);
-        self.shared.metrics.event("granter_silent");
-        let request = &self.tags.id;
+        self.shared.metrics.count_event("granter_silent");
+        let request = &self.metadata.id;
         self.shared
-            .journal
-            .line(|| format!("gateway: event=granter_silent granter={granter} request={request}"));
+            .event_log
+            .info(|| format!("gateway: event=granter_silent granter={granter} request={request}"));
     }
 
-    /// Where nothing is granted, this gateway's part of what may be used beyond the limit is left.
+    /// Spends from this gateway's share of the allowed overrun, for requests that got no grant.
     fn spend_ungranted(
         &self,
         tenant: u64,
@@ -143,74 +145,81 @@
         let now = self.shared.clock.now();
         let is_spent = self.shared.knowledge.lock().unwrap().spend_ungranted(tenant, amount, now);
         if is_spent {
-            self.shared.metrics.event("ungranted_spent");
+            self.shared.metrics.count_event("ungranted_spent");
             return Ok(now);
         }
         Err(match wait {
-            Some(wait) => OverLimit::Used(wait),
+            Some(wait) => OverLimit::Exhausted(wait),
             None => {
-                self.shared.metrics.event("no_granter");
+                self.shared.metrics.count_event("no_granter");
                 OverLimit::NoGranter(NO_GRANTER_WAIT.mul_f64(1.0 + rand::random::<f64>()))
             }
         })
     }
 
-    /// Asks for one request to a replica that names a limit. Where it is not granted, the replica is no candidate for a while.
-    pub(super) async fn ask_send_grant(&self, choice: &Choice) -> Option<Grant<'e>> {
-        let asked_at = self.shared.clock.now();
-        let (asked, granting) = {
+    /// Acquires a grant for one request to a replica with a request limit. Without a grant the replica
+    /// is not chosen for a while.
+    pub(super) async fn acquire_send_grant(&self, choice: &Choice) -> Option<Grant<'e>> {
+        let requested_at = self.shared.clock.now();
+        let (update, granting) = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            let asked = knowledge.limit_news(choice, asked_at)?;
-            (asked, knowledge.granting_send(asked.replica, asked_at))
+            let update = knowledge.limit_news(choice, requested_at)?;
+            (update, knowledge.granting_send(update.replica, requested_at))
         };
-        let answer = match granting {
+        let response = match granting {
             None => None,
             Some(Granting::Own) => {
-                let answer = self.shared.knowledge.lock().unwrap().grant_send(&asked, asked_at);
-                self.shared.metrics.event(send_grant_event(answer));
-                Some(answer)
+                let response =
+                    self.shared.knowledge.lock().unwrap().grant_send(&update, requested_at);
+                self.shared.metrics.count_event(send_grant_event(response));
+                Some(response)
             }
-            Some(Granting::Other(granter)) => self.ask_send_granter(granter, asked).await,
+            Some(Granting::Other(granter)) => self.request_send_grant(granter, update).await,
         };
-        if answer == Some(GrantAnswer::Granted) {
-            let from = granting.map(|granting| (granting, StripeId::of_replica(asked.replica)));
+        if response == Some(GrantAnswer::Granted) {
+            let source = granting.map(|granting| (granting, StripeId::of_replica(update.replica)));
             let may_have_run = AtomicBool::new(false);
             return Some(Grant {
                 shared: self.shared,
-                from,
+                source,
                 amount: 1,
-                at: asked_at,
+                granted_at: requested_at,
                 may_have_run,
             });
         }
-        self.note_spent(choice, asked.replica, answer);
+        self.record_limit_spent(choice, update.replica, response);
         None
     }
 
-    async fn ask_send_granter(&self, granter: SocketAddr, asked: LimitNews) -> Option<GrantAnswer> {
-        let limit = GRANT_LIMIT.min(self.left());
-        let answer = self.shared.peers.ask_send_grant(granter, asked, limit).await;
-        if answer.is_none() {
+    async fn request_send_grant(
+        &self,
+        granter: SocketAddr,
+        update: LimitNews,
+    ) -> Option<GrantAnswer> {
+        let timeout = GRANT_TIMEOUT.min(self.remaining_time());
+        let response = self.shared.peers.request_send_grant(granter, update, timeout).await;
+        if response.is_none() {
             let now = self.shared.clock.now();
             self.shared.knowledge.lock().unwrap().note_silent_send_granter(granter, now);
-            self.shared.metrics.event("send_granter_silent");
+            self.shared.metrics.count_event("send_granter_silent");
         }
-        answer
+        response
     }
 
-    fn note_spent(&self, choice: &Choice, replica: u64, answer: Option<GrantAnswer>) {
-        let (event, pause) = match answer {
-            Some(GrantAnswer::Over(wait)) => ("limit_spent", wait.max(LEAST_SPENT_PAUSE)),
-            _ => ("limit_not_granted", NO_SEND_GRANT_PAUSE),
+    fn record_limit_spent(&self, choice: &Choice, replica: u64, response: Option<GrantAnswer>) {
+        let (event, pause) = match response {
+            Some(GrantAnswer::Over(wait)) => ("limit_spent", wait.max(MIN_EXHAUSTED_PAUSE)),
+            _ => ("limit_not_granted", NO_GRANTER_PAUSE),
         };
+        // Spread, so that gateways don't ask again all at once.
         let pause = pause.mul_f64(1.0 + rand::random::<f64>());
         let now = self.shared.clock.now();
         self.shared.knowledge.lock().unwrap().note_spent(replica, pause, now);
-        self.shared.metrics.event(event);
-        self.shared.journal.line(|| {
+        self.shared.metrics.count_event(event);
+        self.shared.event_log.info(|| {
             format!(
                 "gateway: event={event} request={} instance={} pause_ms={}",
-                self.tags.id,
+                self.metadata.id,
                 choice.instance.id,
                 pause.as_millis()
             )
--- a/crates/topazmount/src/fleet/exchange/late.rs
+++ b/crates/topazmount/src/fleet/exchange/load_shedding.rs
@@ -1,31 +1,35 @@
-//! Requests that would be late at their choice.
+//! Load shedding: refuses prompts that would miss their target latency.
 
 use super::Exchange;
 use std::time::Duration;
 use topazmount_gateway::{Choice, Prospect, RequestPlan};
 
 impl Exchange<'_> {
-    /// How long the client should stay away, where its prompt would be late at its choice. What was sent to a replica
-    /// already, or has a part of its answer, goes on.
-    pub(super) fn wait_if_late(&self, plan: &RequestPlan, choice: &Choice) -> Option<Duration> {
-        let is_begun = !plan.tried().is_empty() || self.tags.last_event_id.is_some();
-        if is_begun || self.tags.prompt.is_none() {
+    /// Retry delay for the client if its prompt should be refused because it would miss its target at
+    /// the chosen replica. Requests that were sent before or that resume a stream are not refused.
+    pub(super) fn load_shedding_wait(
+        &self,
+        plan: &RequestPlan,
+        choice: &Choice,
+    ) -> Option<Duration> {
+        let has_started = !plan.tried().is_empty() || self.metadata.last_event_id.is_some();
+        if has_started || self.metadata.prompt.is_none() {
             return None;
         }
         let prospect = Prospect {
             estimate: Duration::from_secs_f64(choice.estimate_ms.max(0.0) / 1_000.0),
-            spent: self.shared.clock.now().since(self.received),
+            spent: self.shared.clock.now().since(self.received_at),
             target: self.admission.route.target_latency,
             rank: self.admission.route.priority,
             is_clear: choice.is_clear,
             taken_share: choice.taken_share,
         };
         let wait = prospect.wait_if_late(rand::random())?;
-        self.shared.metrics.event("refused_late");
-        self.shared.journal.line(|| {
+        self.shared.metrics.count_event("refused_late");
+        self.shared.event_log.info(|| {
             format!(
                 "gateway: event=refused_late request={} instance={} estimate_ms={:.0} target_ms={} wait_ms={}",
-                self.tags.id,
+                self.metadata.id,
                 choice.instance.id,
                 choice.estimate_ms,
                 prospect.target.as_millis(),
--- a/crates/topazmount/src/fleet/exchange/mod.rs
+++ b/crates/topazmount/src/fleet/exchange/mod.rs
@@ -1,20 +1,20 @@
-//! One request's way through a gateway: attempts at replicas until one answers, or a refusal.
+//! Serves one admitted request: attempts at replicas until one responds, or an error response.
 
-mod answers;
 mod attempt;
 mod choose;
 mod connection;
 mod crash;
-mod late;
 mod limit;
+mod load_shedding;
 mod pushback;
 mod record;
 mod relay;
+mod responses;
 mod resume;
 
 use super::dialect::RequestMetadata;
-use super::gateway::Shared;
-use super::pool::ConnectionEnd;
+use super::gateway::SharedState;
+use super::pool::KeepAliveHint;
 use super::stream::EventSplitter;
 use crate::http1::{BodyReader, RequestHead, ResponseHead, Wire};
 use async_net::TcpStream;
@@ -29,119 +29,122 @@
 };
 use topazmount_types::{ErrorKind, RequestDigest, RunState, TenantId, Time};
 
-/// What becomes of the client's connection.
+/// Whether the client got its whole response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Ending {
-    /// The answer is whole; the connection may go on.
-    Whole,
-    /// The answer broke off: the client must see that.
-    Cut,
+pub(super) enum ResponseOutcome {
+    /// The response is complete; the connection may be reused.
+    Complete,
+    /// The response was cut off; the connection is reset so that the client notices.
+    Truncated,
 }
 
-/// A request that was admitted.
+/// An admitted request and everything needed to serve it.
 pub(super) struct Exchange<'a> {
-    pub(super) shared: &'a Shared,
+    pub(super) shared: &'a SharedState,
     pub(super) head: &'a RequestHead,
     pub(super) body: &'a [u8],
-    pub(super) tags: &'a RequestMetadata,
-    /// Tells another try of the same request.
+    pub(super) metadata: &'a RequestMetadata,
+    /// Identifies retries of the same request by the client.
     pub(super) digest: RequestDigest,
     pub(super) admission: &'a Admission,
-    /// When the request was read.
-    pub(super) received: Time,
+    /// When the request's head was read.
+    pub(super) received_at: Time,
     pub(super) keeps_alive: bool,
-    /// Parameters of the service's engines, if it has any.
+    /// Parameters of the service's inference engines, if it has any.
     pub(super) engine: Option<EngineParameters>,
     /// Write side of the client's connection.
     pub(super) client: TcpStream,
 }
 
-/// How an attempt ended.
-enum Attempt {
-    /// Nothing that can be passed on.
+/// Result of one attempt at a replica.
+enum AttemptResult {
+    /// No response that can be forwarded.
     Ended(AttemptEnd),
-    /// A whole failure of the replica.
+    /// A complete response that reports a failure of the replica.
     Failure(ResponseHead, Vec<u8>),
-    /// A whole success.
+    /// A complete successful response.
     Success(ResponseHead, Vec<u8>),
-    /// The begin of a stream.
-    Stream(Box<StreamBegin>),
+    /// The head and first event of a stream.
+    Stream(Box<StreamStart>),
 }
 
-/// The connection that an answer came on.
-struct Carrier {
+/// The connection that a response was received on.
+struct ReplicaConnection {
     wire: Wire,
-    end: ConnectionEnd,
+    keep_alive: KeepAliveHint,
     is_request_sent: bool,
 }
 
-struct StreamBegin {
+/// A stream from a replica that is not relayed to its end yet.
+struct StreamStart {
     head: ResponseHead,
-    carrier: Carrier,
+    connection: ReplicaConnection,
     reader: BodyReader,
     splitter: EventSplitter,
-    first: Option<Vec<u8>>,
-    is_until_close: bool,
+    first_event: Option<Vec<u8>>,
+    ends_at_close: bool,
 }
 
-struct WholeAnswer {
+/// A response whose body has been read.
+struct CompleteResponse {
     head: ResponseHead,
     body: Vec<u8>,
-    carrier: Carrier,
+    connection: ReplicaConnection,
 }
 
-/// What a replica sent first.
-enum First {
-    Whole(Box<WholeAnswer>),
-    Stream(Box<StreamBegin>),
-    /// The connection ended before any byte came.
-    Mute,
+/// First data that a replica sent.
+enum FirstResponse {
+    Complete(Box<CompleteResponse>),
+    Stream(Box<StreamStart>),
+    /// The connection ended before any byte arrived.
+    NoData,
+    /// The response is invalid or incomplete, for this reason.
     Broken(&'static str),
 }
 
 /// How a relayed stream ended.
 enum StreamEnd {
     Complete,
-    ReplicaBroke,
-    /// The replica has said nothing for long; the stream can be read on.
-    Silent(Box<StreamBegin>),
-    /// The replica fell silent and was let go for another one, which then failed the stream.
-    NotResumed(AttemptEnd),
-    ClientBroke,
-    TimeOver,
+    ReplicaFailed,
+    /// No event has arrived for the stall timeout; reading can continue.
+    Stalled(Box<StreamStart>),
+    /// The stalled replica was dropped for another one, which then failed the stream.
+    ResumeFailed(AttemptEnd),
+    ClientDisconnected,
+    DeadlineExceeded,
 }
 
-/// Progress of the client's answer.
+/// How much of the response the client has been sent.
 #[derive(Default)]
-struct Progress {
-    has_begun: bool,
-    last_event: Option<String>,
-    pace: Pace,
+struct ClientProgress {
+    has_started: bool,
+    last_event_id: Option<String>,
+    timing: EventTiming,
 }
 
-/// How the events of a stream came.
+/// Arrival times of a stream's events.
 #[derive(Clone, Copy, Default)]
-struct Pace {
+struct EventTiming {
     first_at: Option<Time>,
     last_at: Option<Time>,
-    longest_pause: Duration,
+    longest_gap: Duration,
 }
 
-impl Pace {
-    fn note_event(&mut self, now: Time) {
+impl EventTiming {
+    fn record_event(&mut self, now: Time) {
         if let Some(last) = self.last_at {
-            self.longest_pause = self.longest_pause.max(now.since(last));
+            self.longest_gap = self.longest_gap.max(now.since(last));
         }
         self.first_at = self.first_at.or(Some(now));
         self.last_at = Some(now);
     }
 }
 
-/// Counts a request at its replica for as long as it lives.
+/// Counts a request as in flight at its replica until it is dropped.
 struct InFlight<'a> {
-    shared: &'a Shared,
+    shared: &'a SharedState,
     choice: Choice,
-    /// Grant for a replica that had named a limit when it was chosen.
+    /// Grant, if the replica had a request limit when it was chosen.
     grant: Option<Grant<'a>>,
     has_first_token: AtomicBool,
     has_failed: AtomicBool,
@@ -155,45 +158,45 @@
             false => PromptEvent::Ended,
         };
         let now = self.shared.clock.now();
-        let news = {
+        let update = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
             knowledge.balancer().ended(&self.choice, has_first_token);
             knowledge.news_of_end(&self.choice, event, now)
         };
-        self.shared.peers.tell(news);
+        self.shared.peers.send_load_update(update);
     }
 }
 
 impl<'e> Exchange<'e> {
-    fn ends_at(&self) -> Time {
+    fn deadline(&self) -> Time {
         let timeout = self.admission.route.timeout;
-        self.received + self.tags.deadline.map_or(timeout, |deadline| deadline.min(timeout))
+        self.received_at + self.metadata.deadline.map_or(timeout, |deadline| deadline.min(timeout))
     }
 
-    fn left(&self) -> Duration {
-        self.ends_at().since(self.shared.clock.now())
+    fn remaining_time(&self) -> Duration {
+        self.deadline().since(self.shared.clock.now())
     }
 
     fn choice_request<'a>(&'a self, plan: &'a RequestPlan) -> ChoiceRequest<'a> {
         ChoiceRequest {
             service: &self.admission.service,
             tenant: self.tenant_hash(),
-            prompt: self.tags.prompt.as_ref(),
-            model: self.tags.model.as_deref(),
-            namespace: self.namespace(),
-            wall: self.wall(),
+            prompt: self.metadata.prompt.as_ref(),
+            model: self.metadata.model.as_deref(),
+            namespace: self.cache_namespace(),
+            wall: self.isolated_tenant(),
             exclude: plan.tried(),
             held_to: plan.held_to(),
             engine: self.engine.as_ref(),
         }
     }
 
-    /// What separates the caches that this request may share.
-    fn namespace(&self) -> u64 {
+    /// Requests with equal namespaces may share cached prompt parts.
+    fn cache_namespace(&self) -> u64 {
         use std::hash::{DefaultHasher, Hash, Hasher};
         let mut hasher = DefaultHasher::new();
-        self.tags.model.hash(&mut hasher);
-        self.wall().hash(&mut hasher);
+        self.metadata.model.hash(&mut hasher);
+        self.isolated_tenant().hash(&mut hasher);
         hasher.finish()
     }
 
@@ -201,131 +204,133 @@
         self.admission.tenant.as_ref().map_or(0, |tenant| TenantId::from_name(&tenant.name).0)
     }
 
-    /// The tenant whose cached prompt parts are kept from all others, if it is one.
-    fn wall(&self) -> Option<&str> {
+    /// The request's tenant, if its cached prompt parts must not be shared with other tenants.
+    fn isolated_tenant(&self) -> Option<&str> {
         let tenant = self.admission.tenant.as_ref()?;
         tenant.is_isolated.then_some(tenant.name.as_str())
     }
 
-    /// Name under which parts are shared: parts made with other weights or behind another
-    /// tenant's wall never have the same. Where the weights are not known, nothing is shared: a run
-    /// may outlast a load, and what it leaves would be taken for the new weights' own.
+    /// Salt of the cache that the request may share: it differs between versions of weights and
+    /// between isolated tenants. Without a known version nothing is shared, since a run that overlaps
+    /// a load of weights would leave parts that look as if the new weights had made them.
     fn cache_salt(&self, version: Option<u32>) -> String {
         match version {
-            Some(version) => cache_salt(version, self.wall()),
-            None => format!("request/{}", self.tags.id),
+            Some(version) => cache_salt(version, self.isolated_tenant()),
+            None => format!("request/{}", self.metadata.id),
         }
     }
 
-    /// Serves the request to its end.
-    pub(super) async fn run(mut self) -> Ending {
+    /// Serves the request until its response is complete or has failed.
+    pub(super) async fn run(mut self) -> ResponseOutcome {
         let route = &self.admission.route;
         let mut plan = RequestPlan::new(route.is_repeatable(), route.attempts);
-        let mut progress =
-            Progress { last_event: self.tags.last_event_id.clone(), ..Progress::default() };
+        let mut progress = ClientProgress {
+            last_event_id: self.metadata.last_event_id.clone(),
+            ..ClientProgress::default()
+        };
         let now = self.shared.clock.now();
         let service = self.admission.service.clone();
         self.shared.knowledge.lock().unwrap().count_request(&service, now);
         if !self.is_admitted_by_policy(&plan) {
-            return self.give_up(&plan, &progress, ErrorKind::RefusedByPolicy).await;
+            return self.fail(&plan, &progress, ErrorKind::RefusedByPolicy).await;
         }
         if self.is_blocked() {
-            return self.give_up(&plan, &progress, ErrorKind::CrashesReplicas).await;
+            return self.fail(&plan, &progress, ErrorKind::CrashesReplicas).await;
         }
-        let grant = match self.ask_limit().await {
+        let grant = match self.acquire_tenant_grant().await {
             Ok(grant) => grant,
-            Err(over) => return self.refuse_over_limit(&plan, over).await,
+            Err(over) => return self.reject_over_limit(&plan, over).await,
         };
         self.run_attempts(&mut plan, &mut progress, grant.as_ref()).await
     }
 
-    /// Sends an admitted request to replicas until one answers or there is nothing left to try.
+    /// Sends the request to replicas until one responds or no further attempt is allowed.
     async fn run_attempts(
         &mut self,
         plan: &mut RequestPlan,
-        progress: &mut Progress,
+        progress: &mut ClientProgress,
         grant: Option<&Grant<'_>>,
-    ) -> Ending {
-        // A replica's whole failure, while others are tried.
+    ) -> ResponseOutcome {
+        // Last failure response of a replica, forwarded if no other attempt succeeds.
         let mut failure = None;
         loop {
             if self.is_blocked() {
-                return self.give_up(plan, progress, ErrorKind::CrashesReplicas).await;
+                return self.fail(plan, progress, ErrorKind::CrashesReplicas).await;
             }
-            if self.left().is_zero() {
-                return self.end_without(plan, progress, time_over(plan), failure).await;
+            if self.remaining_time().is_zero() {
+                return self.finish_unserved(plan, progress, deadline_error(plan), failure).await;
             }
             let Some(mut in_flight) = self.choose(plan).await else {
-                // The incarnation that it was held to has ended.
+                // The incarnation that the request was pinned to has ended.
                 if plan.let_go() {
                     continue;
                 }
-                return self.end_without(plan, progress, plan.refusal(), failure).await;
+                return self.finish_unserved(plan, progress, plan.refusal(), failure).await;
             };
-            if let Some(wait) = self.wait_if_late(plan, &in_flight.choice) {
+            if let Some(wait) = self.load_shedding_wait(plan, &in_flight.choice) {
                 drop(in_flight);
-                return self.refuse(plan, ErrorKind::Overloaded, Some(wait)).await;
+                return self.send_error(plan, ErrorKind::Overloaded, Some(wait)).await;
             }
             plan.begin(in_flight.choice.instance.incarnation_name());
-            set_used(grant, true);
-            let began = self.shared.clock.now();
+            set_may_have_run(grant, true);
+            let started_at = self.shared.clock.now();
             let attempt = self.attempt(plan, &in_flight, progress).await;
             let end = match attempt {
-                Attempt::Success(head, body) => {
-                    self.note_success(&in_flight.choice, began);
+                AttemptResult::Success(head, body) => {
+                    self.record_success(&in_flight.choice, started_at);
                     self.log_attempt(&in_flight.choice, "success");
-                    return self.pass_on(head, &body, plan).await;
+                    return self.forward_response(head, &body, plan).await;
                 }
-                Attempt::Failure(head, body) => {
+                AttemptResult::Failure(head, body) => {
                     self.log_attempt(&in_flight.choice, "failure");
                     drop(in_flight);
-                    match self.next(plan, AttemptEnd::Failed, progress) {
+                    match self.error_unless_retry(plan, AttemptEnd::Failed, progress) {
                         None => {
                             failure = Some((head, body));
                             continue;
                         }
-                        Some(_) if progress.has_begun => return Ending::Cut,
-                        Some(_) => return self.pass_on(head, &body, plan).await,
+                        Some(_) if progress.has_started => return ResponseOutcome::Truncated,
+                        Some(_) => return self.forward_response(head, &body, plan).await,
                     }
                 }
-                Attempt::Stream(begin) => {
+                AttemptResult::Stream(stream) => {
                     let end;
-                    (in_flight, end) = self.relay_resuming(plan, in_flight, begin, progress).await;
+                    (in_flight, end) = self.relay_resuming(plan, in_flight, stream, progress).await;
                     match end {
                         StreamEnd::Complete => {
-                            self.note_success(&in_flight.choice, began);
+                            self.record_success(&in_flight.choice, started_at);
                             self.log_attempt(&in_flight.choice, "success");
-                            self.shared.metrics.longest_pause(progress.pace.longest_pause);
-                            self.log_stream(plan, &progress.pace);
-                            return Ending::Whole;
+                            self.shared.metrics.record_longest_gap(progress.timing.longest_gap);
+                            self.log_stream(plan, &progress.timing);
+                            return ResponseOutcome::Complete;
                         }
-                        StreamEnd::ClientBroke => {
+                        StreamEnd::ClientDisconnected => {
                             self.log_end(plan, 0, "client_gone");
-                            return Ending::Cut;
+                            return ResponseOutcome::Truncated;
                         }
-                        StreamEnd::TimeOver => {
+                        StreamEnd::DeadlineExceeded => {
                             self.log_end(plan, 0, "time_over");
-                            return Ending::Cut;
+                            return ResponseOutcome::Truncated;
                         }
-                        StreamEnd::NotResumed(end) => end,
-                        StreamEnd::ReplicaBroke | StreamEnd::Silent(_) => AttemptEnd::Broken,
+                        StreamEnd::ResumeFailed(end) => end,
+                        StreamEnd::ReplicaFailed | StreamEnd::Stalled(_) => AttemptEnd::Broken,
                     }
                 }
-                Attempt::Ended(end) => end,
+                AttemptResult::Ended(end) => end,
             };
-            self.note_failure(&in_flight, end);
+            self.record_failure(&in_flight, end);
             self.log_attempt(&in_flight.choice, attempt_end_label(end));
             if end == AttemptEnd::Broken {
-                self.look_for_crash(&in_flight.choice, began).await;
+                self.check_for_crash(&in_flight.choice, started_at).await;
             }
             drop(in_flight);
-            let next = self.next(plan, end, progress);
-            set_used(grant, plan.may_have_run());
-            if let Some(kind) = next {
+            let error = self.error_unless_retry(plan, end, progress);
+            set_may_have_run(grant, plan.may_have_run());
+            if let Some(kind) = error {
                 if self.is_blocked() {
-                    return self.give_up(plan, progress, ErrorKind::CrashesReplicas).await;
+                    return self.fail(plan, progress, ErrorKind::CrashesReplicas).await;
                 }
-                return self.end_without(plan, progress, kind, failure).await;
+                return self.finish_unserved(plan, progress, kind, failure).await;
             }
         }
     }
@@ -336,48 +341,48 @@
         !has_prompt || self.shared.knowledge.lock().unwrap().is_admitted_by_policy(&request)
     }
 
-    /// Asks the plan and the budget what follows: another attempt, or the kind of the answer.
-    fn next(
+    /// Ends an attempt. Returns the error to respond with, or `None` if another attempt follows.
+    fn error_unless_retry(
         &self,
         plan: &mut RequestPlan,
         end: AttemptEnd,
-        progress: &Progress,
+        progress: &ClientProgress,
     ) -> Option<ErrorKind> {
-        // A stream whose events have no identifiers can't be taken up in the middle.
-        if progress.has_begun && progress.last_event.is_none() {
+        // A stream can only be resumed if its events have identifiers.
+        if progress.has_started && progress.last_event_id.is_none() {
             return Some(ErrorKind::AnswerIncomplete);
         }
         match plan.end(end) {
             NextStep::Retry { is_repeat: false, .. } => None,
-            NextStep::Retry { otherwise, .. } => (!self.may_repeat()).then_some(otherwise),
-            NextStep::RetryOrPassOn => (!self.may_repeat()).then_some(ErrorKind::BackendFailed),
+            NextStep::Retry { otherwise, .. } => (!self.take_retry()).then_some(otherwise),
+            NextStep::RetryOrPassOn => (!self.take_retry()).then_some(ErrorKind::BackendFailed),
             NextStep::PassOn => Some(ErrorKind::BackendFailed),
             NextStep::Answer(kind) => Some(kind),
         }
     }
 
-    /// Asks the service's budget for one repeat.
-    fn may_repeat(&self) -> bool {
+    /// Takes one retry from the service's retry budget, if there is one left.
+    fn take_retry(&self) -> bool {
         let now = self.shared.clock.now();
         self.shared.knowledge.lock().unwrap().may_repeat(&self.admission.service, now)
     }
 }
 
-fn set_used(grant: Option<&Grant<'_>>, may_have_run: bool) {
+fn set_may_have_run(grant: Option<&Grant<'_>>, may_have_run: bool) {
     if let Some(grant) = grant {
-        grant.set_used(may_have_run);
+        grant.set_may_have_run(may_have_run);
     }
 }
 
-/// Kind of the answer to a request whose time is over.
-fn time_over(plan: &RequestPlan) -> ErrorKind {
+/// Error for a request whose deadline has passed.
+fn deadline_error(plan: &RequestPlan) -> ErrorKind {
     match plan.run_state() {
         RunState::NotRun => ErrorKind::Overloaded,
         _ => ErrorKind::OutcomeTimedOut,
     }
 }
 
-/// Runs a future for a limited time.
-async fn until<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
-    super::http_service::within(limit, future).await
+/// Runs a future with a time limit; `None` on timeout.
+async fn with_timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+    super::http_service::with_timeout(limit, future).await
 }
--- a/crates/topazmount/src/fleet/exchange/pushback.rs
+++ b/crates/topazmount/src/fleet/exchange/pushback.rs
@@ -1,4 +1,4 @@
-//! What replicas' answers ask of this gateway.
+//! Records pushback and request limits from replicas' responses.
 
 use super::super::dialect::ResponseMetadata;
 use super::Exchange;
@@ -8,94 +8,98 @@
 use topazmount_types::Time;
 
 impl Exchange<'_> {
-    /// Notes what an answer on a connection to the chosen replica asks; it may answer an earlier request. It is heard with
-    /// the head, before the body, which may come late or never.
-    pub(super) fn note_pushback(
+    /// Records the pushback in a response, which may belong to an earlier request on the connection.
+    /// Called when the head arrives, since the body may come late or never.
+    pub(super) fn record_pushback(
         &self,
         choice: &Choice,
-        tags: &ResponseMetadata,
+        metadata: &ResponseMetadata,
         status: u16,
         sent_at: Time,
     ) {
-        self.note_limit(choice, tags, sent_at);
-        let asked = tags.pushback;
-        let asks = asked.asks() || asked.unreadable.is_some();
-        let is_other = tags.instance.as_ref().is_some_and(|id| *id != choice.instance.id);
-        if is_other || !(asks || tags.is_not_run) {
+        self.record_limit(choice, metadata, sent_at);
+        let pushback = metadata.pushback;
+        let has_pushback = pushback.asks() || pushback.unreadable.is_some();
+        let is_other_replica =
+            metadata.instance.as_ref().is_some_and(|id| *id != choice.instance.id);
+        if is_other_replica || !(has_pushback || metadata.is_not_run) {
             return;
         }
         let now = self.shared.clock.now();
-        let heard = {
+        let change = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().hear_pushback(choice, asked, now)
+            knowledge.balancer().hear_pushback(choice, pushback, now)
         };
-        if let Some(heard) = heard {
-            self.shared.metrics.rest(&self.admission.service, heard.adds);
+        if let Some(change) = change {
+            self.shared.metrics.add_backoff(&self.admission.service, change.adds);
         }
-        if heard.is_some_and(|heard| heard.leaves) {
+        if change.is_some_and(|change| change.leaves) {
             self.shared.pool.close(&choice.instance.incarnation_name());
         }
-        // A replica that leaves says so in each answer; what is known already is no news.
-        if heard.is_none() && asked.unreadable.is_none() && !tags.is_not_run {
+        // A leaving replica repeats this in each response; only changes are logged.
+        if change.is_none() && pushback.unreadable.is_none() && !metadata.is_not_run {
             return;
         }
-        let millis = |rest: Option<Duration>| {
-            rest.map_or_else(|| "none".to_owned(), |rest| rest.as_millis().to_string())
+        let millis = |backoff: Option<Duration>| {
+            backoff.map_or_else(|| "none".to_owned(), |backoff| backoff.as_millis().to_string())
         };
-        self.shared.metrics.event("pushback");
-        self.shared.journal.line(|| {
+        self.shared.metrics.count_event("pushback");
+        self.shared.event_log.info(|| {
             format!(
                 "gateway: event=pushback request={} instance={} start={} status={status} not_run={} rest_ms={} leaving={} \
                  unreadable={} rests_for_ms={}",
-                self.tags.id,
+                self.metadata.id,
                 choice.instance.id,
                 choice.instance.start,
-                tags.is_not_run,
-                millis(asked.rest),
-                asked.is_leaving,
-                asked.unreadable.unwrap_or("none"),
-                millis(heard.and_then(|heard| heard.rests_for))
+                metadata.is_not_run,
+                millis(pushback.rest),
+                pushback.is_leaving,
+                pushback.unreadable.unwrap_or("none"),
+                millis(change.and_then(|change| change.rests_for))
             )
         });
     }
 
-    /// Other gateways learn of a changed limit before they send much.
-    fn tell_limit(&self, choice: &Choice, now: Time) {
+    /// Sends a changed limit to other gateways.
+    fn send_limit_update(&self, choice: &Choice, now: Time) {
         let mut knowledge = self.shared.knowledge.lock().unwrap();
-        let Some(news) = knowledge.limit_news(choice, now) else { return };
-        let to = knowledge.told_of_limit(news.replica, now);
+        let Some(update) = knowledge.limit_news(choice, now) else { return };
+        let recipients = knowledge.told_of_limit(update.replica, now);
         drop(knowledge);
-        self.shared.peers.tell_limit(to, news);
+        self.shared.peers.send_limit_update(recipients, update);
     }
 
-    /// Notes the limit that an answer names, or that it names none. A value that can't be read says neither.
-    fn note_limit(&self, choice: &Choice, tags: &ResponseMetadata, sent_at: Time) {
-        let limit = tags.pushback.limit;
-        let is_of_replica = tags.is_sealed || tags.is_not_run;
-        let is_other = tags.instance.as_ref().is_some_and(|id| *id != choice.instance.id);
-        let says_none = limit.is_none() && is_of_replica && tags.pushback.unreadable.is_none();
-        if is_other || tags.is_misdirected || !(limit.is_some() || says_none) {
+    /// Records the request limit in a response, or its absence. An unreadable value is ignored.
+    fn record_limit(&self, choice: &Choice, metadata: &ResponseMetadata, sent_at: Time) {
+        let limit = metadata.pushback.limit;
+        let is_from_replica = metadata.is_sealed || metadata.is_not_run;
+        let is_other_replica =
+            metadata.instance.as_ref().is_some_and(|id| *id != choice.instance.id);
+        let has_ended =
+            limit.is_none() && is_from_replica && metadata.pushback.unreadable.is_none();
+        if is_other_replica || metadata.is_misdirected || !(limit.is_some() || has_ended) {
             return;
         }
-        // A late answer to an earlier request says nothing of what holds since.
-        let is_late = tags.request_id.as_ref().is_some_and(|id| *id != self.tags.id);
-        let sent_at = if is_late { Time::ZERO } else { sent_at };
+        // A late response to an earlier request may be outdated.
+        let is_earlier_request =
+            metadata.request_id.as_ref().is_some_and(|id| *id != self.metadata.id);
+        let sent_at = if is_earlier_request { Time::ZERO } else { sent_at };
         let now = self.shared.clock.now();
         let change = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
             knowledge.balancer().hear_limit(choice, limit, sent_at, now)
         };
         let Some(change) = change else { return };
-        self.tell_limit(choice, now);
+        self.send_limit_update(choice, now);
         let (event, limit) = match change {
             LimitChange::Named(limit) => ("limit_named", Some(limit)),
             LimitChange::Ended => ("limit_ended", None),
         };
-        self.shared.metrics.event(event);
-        self.shared.journal.line(|| {
+        self.shared.metrics.count_event(event);
+        self.shared.event_log.info(|| {
             format!(
                 "gateway: event={event} request={} instance={} start={} per_second={}",
-                self.tags.id,
+                self.metadata.id,
                 choice.instance.id,
                 choice.instance.start,
                 per_second(limit)
@@ -104,7 +108,7 @@
     }
 }
 
-/// A limit as logs name it.
+/// A limit as text for logs.
 pub(super) fn per_second(limit: Option<RequestLimit>) -> String {
     limit.map_or_else(|| "none".to_owned(), |limit| limit.rate().to_string())
 }
--- a/crates/topazmount/src/fleet/exchange/record.rs
+++ b/crates/topazmount/src/fleet/exchange/record.rs
@@ -1,35 +1,35 @@
-//! What a request teaches of its replica, and what is logged and counted of it.
+//! Records the results of attempts in the gateway's knowledge, the log and the metrics.
 
 use super::super::crash_watch;
 use super::pushback::per_second;
-use super::{Exchange, InFlight, Pace};
+use super::{EventTiming, Exchange, InFlight};
 use crate::http1::ResponseHead;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use topazmount_gateway::{AttemptEnd, Choice, PromptEvent, Refused, RequestPlan};
 use topazmount_types::{RunState, Time};
 
-/// Part of the target latency after which a replica that sent nothing is given up, where the
-/// request may be sent to another.
-const SILENCE_SHARE: f64 = 0.7;
-/// Least such silence of a replica that has a prompt to read.
-const PROMPT_SILENCE: Duration = Duration::from_millis(1_200);
-/// Times that the estimated time to the first token is added to that.
-const SILENCE_ESTIMATES: f64 = 2.0;
+/// Share of the target latency after which a replica that sent nothing counts as silent, for requests
+/// without a prompt.
+const SILENCE_TARGET_SHARE: f64 = 0.7;
+/// The same time for requests with a prompt is at least this.
+const MIN_PROMPT_SILENCE: Duration = Duration::from_millis(1_200);
+/// Multiple of the estimated time to the first token that is added.
+const SILENCE_ESTIMATE_FACTOR: f64 = 2.0;
 
 impl Exchange<'_> {
-    pub(super) fn note_version(&self, choice: &Choice, head: &ResponseHead) {
-        let tags = self.shared.dialect.response_metadata(head);
-        // A refusal may be another replica's, and is judged by itself.
-        let version = tags.weights_version.filter(|_| !tags.is_misdirected);
-        if let (Some(model), Some(version)) = (&self.tags.model, version) {
+    pub(super) fn record_version(&self, choice: &Choice, head: &ResponseHead) {
+        let metadata = self.shared.dialect.response_metadata(head);
+        // A misdirected request may have been refused by another replica; handled separately.
+        let version = metadata.weights_version.filter(|_| !metadata.is_misdirected);
+        if let (Some(model), Some(version)) = (&self.metadata.model, version) {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
             knowledge.balancer().saw_version(choice, model, version);
         }
     }
 
-    /// Notes that a request that was sent to a replica at a moment ran well there.
-    pub(super) fn note_success(&self, choice: &Choice, sent_at: Time) {
+    /// Records that a request sent to a replica at `sent_at` succeeded.
+    pub(super) fn record_success(&self, choice: &Choice, sent_at: Time) {
         let now = self.shared.clock.now();
         let was_suspected = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
@@ -38,25 +38,27 @@
             knowledge.crashes().completed(self.digest, now)
         };
         if was_suspected {
-            self.shared.report_at_once();
+            self.shared.request_report();
         }
     }
 
-    /// How long a sound replica may be silent after it was sent the request: the longer, the more
-    /// of a prompt it has to read.
+    /// How long a healthy replica may be silent after the request was sent; longer if it has more of
+    /// the prompt to compute.
     pub(super) fn silence_limit(&self, choice: &Choice) -> Duration {
         let target = self.admission.route.target_latency;
-        let share = match self.tags.prompt {
-            // A queue of other prompts may be before it, and reading one twice costs much.
-            Some(_) => target.max(PROMPT_SILENCE),
-            None => target.mul_f64(SILENCE_SHARE),
+        let base = match self.metadata.prompt {
+            // The prompt may be queued behind others, and computing it twice is expensive.
+            Some(_) => target.max(MIN_PROMPT_SILENCE),
+            None => target.mul_f64(SILENCE_TARGET_SHARE),
         };
-        share + Duration::from_secs_f64(SILENCE_ESTIMATES * choice.estimate_ms.max(0.0) / 1_000.0)
+        base + Duration::from_secs_f64(
+            SILENCE_ESTIMATE_FACTOR * choice.estimate_ms.max(0.0) / 1_000.0,
+        )
     }
 
-    /// Judges a replica that has been silent for so long: it has failed, unless others had answers
-    /// from it meanwhile. Returns whether it has failed.
-    pub(super) fn note_silence(&self, choice: &Choice, sent_at: Time) -> bool {
+    /// Records that a replica is silent. It has failed, unless other requests got responses from it
+    /// since `sent_at`. Returns whether it has failed.
+    pub(super) fn record_silence(&self, choice: &Choice, sent_at: Time) -> bool {
         let now = self.shared.clock.now();
         let mut knowledge = self.shared.knowledge.lock().unwrap();
         let balancer = knowledge.balancer();
@@ -67,7 +69,7 @@
         has_failed
     }
 
-    pub(super) fn note_failure(&self, in_flight: &InFlight<'_>, end: AttemptEnd) {
+    pub(super) fn record_failure(&self, in_flight: &InFlight<'_>, end: AttemptEnd) {
         let choice = &in_flight.choice;
         let now = self.shared.clock.now();
         let mut knowledge = self.shared.knowledge.lock().unwrap();
@@ -75,16 +77,21 @@
         match end {
             AttemptEnd::WrongInstance => {
                 balancer.is_replaced(choice, now);
-                // Another replica has its address: what broke off at it before met its end.
+                // Another replica has its address, so connections that broke earlier were crashes.
                 let requests = knowledge.crashes().ended(&choice.instance.incarnation_name(), now);
                 drop(knowledge);
                 if requests > 0 {
-                    crash_watch::tell(self.shared, &choice.instance.id, requests, "next_life");
+                    crash_watch::report_crash(
+                        self.shared,
+                        &choice.instance.id,
+                        requests,
+                        "next_life",
+                    );
                 }
             }
-            // What it holds was noted when it was judged.
+            // The replica's weights were recorded when the response was classified.
             AttemptEnd::OtherWeights | AttemptEnd::OldWeights => {}
-            // A full replica is sound, what it asked was noted as it came, and silence when it was seen.
+            // No failures; pushback and silence were recorded when they were seen.
             AttemptEnd::NotRun
             | AttemptEnd::TurnedAway
             | AttemptEnd::HeldBack
@@ -98,7 +105,7 @@
         }
     }
 
-    pub(super) fn note_first_token(
+    pub(super) fn record_first_token(
         &self,
         in_flight: &InFlight<'_>,
         plan: &RequestPlan,
@@ -107,23 +114,23 @@
         let choice = &in_flight.choice;
         in_flight.has_first_token.store(true, Ordering::SeqCst);
         let now = self.shared.clock.now();
-        self.shared.metrics.first_event(now.since(self.received));
+        self.shared.metrics.record_first_event(now.since(self.received_at));
         let request = self.choice_request(plan);
-        let news = {
+        let update = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
             knowledge.first_token(choice, &request, now.since(sent_at), now);
             knowledge.news(choice, &request, PromptEvent::Read, now)
         };
-        self.shared.peers.tell(news);
+        self.shared.peers.send_load_update(update);
     }
 
     pub(super) fn log_attempt(&self, choice: &Choice, end: &str) {
-        self.shared.metrics.attempt(end);
-        self.shared.journal.line(|| {
+        self.shared.metrics.count_attempt(end);
+        self.shared.event_log.info(|| {
             format!(
                 "gateway: event=attempt request={} instance={} address={} home_rank={} \
                  version={} known={} source={} save={} prefill={} estimate_ms={:.0} limit={} end={end} after_ms={}",
-                self.tags.id,
+                self.metadata.id,
                 choice.instance.id,
                 choice.instance.address,
                 choice.home_rank,
@@ -134,49 +141,53 @@
                 choice.expected_prefill,
                 choice.estimate_ms,
                 per_second(choice.limit),
-                self.shared.clock.now().since(self.received).as_millis()
+                self.shared.clock.now().since(self.received_at).as_millis()
             )
         });
     }
 
-    /// Judges a replica's refusal of the version that the request named; the model of a prompt is known.
-    pub(super) fn judge_refused_version(&self, choice: &Choice, said: Option<u32>) -> AttemptEnd {
-        self.log_refused_weights(choice, said);
-        let model = self.tags.model.as_deref().unwrap_or_default();
+    /// Classifies a replica's refusal of the weights version that the request expected.
+    pub(super) fn classify_version_refusal(
+        &self,
+        choice: &Choice,
+        reported: Option<u32>,
+    ) -> AttemptEnd {
+        self.log_refused_weights(choice, reported);
+        let model = self.metadata.model.as_deref().unwrap_or_default();
         let now = self.shared.clock.now();
         let refused = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().refused_version(choice, model, said, now)
+            knowledge.balancer().refused_version(choice, model, reported, now)
         };
         match refused {
             Refused::AskAgain => AttemptEnd::OtherWeights,
             Refused::Unexplained => AttemptEnd::NotRun,
             Refused::WentBack(change) => {
-                self.shared.note_change(&change, "refusal");
+                self.shared.handle_change(&change, "refusal");
                 AttemptEnd::OldWeights
             }
         }
     }
 
-    /// Logs that a replica refused the weights that the request named, and which it says it holds, where it does.
-    pub(super) fn log_refused_weights(&self, choice: &Choice, said: Option<u32>) {
-        self.shared.metrics.event("weights_refused");
-        self.shared.journal.line(|| {
+    /// Logs that a replica refused the expected weights, with the version that it reported.
+    pub(super) fn log_refused_weights(&self, choice: &Choice, reported: Option<u32>) {
+        self.shared.metrics.count_event("weights_refused");
+        self.shared.event_log.info(|| {
             format!(
                 "gateway: event=weights_refused request={} instance={} start={} expected={} said={}",
-                self.tags.id,
+                self.metadata.id,
                 choice.instance.id,
                 choice.instance.start,
                 choice.expected.unwrap_or(0),
-                said.unwrap_or(0)
+                reported.unwrap_or(0)
             )
         });
     }
 
-    /// Logs a stream that came to its end, and its pace.
-    pub(super) fn log_stream(&self, plan: &RequestPlan, pace: &Pace) {
-        let first = pace.first_at.map_or(Duration::ZERO, |at| at.since(self.received));
-        let (first, pause) = (first.as_millis(), pace.longest_pause.as_millis());
+    /// Logs a completed stream and the timing of its events.
+    pub(super) fn log_stream(&self, plan: &RequestPlan, timing: &EventTiming) {
+        let first = timing.first_at.map_or(Duration::ZERO, |at| at.since(self.received_at));
+        let (first, pause) = (first.as_millis(), timing.longest_gap.as_millis());
         self.log_end_with(plan, 200, "stream", &format!(" first_ms={first} pause_ms={pause}"));
     }
 
@@ -184,23 +195,25 @@
         self.log_end_with(plan, status, reason, "");
     }
 
-    fn log_end_with(&self, plan: &RequestPlan, status: u16, reason: &str, more: &str) {
-        self.shared.metrics.answer(reason, self.shared.clock.now().since(self.received));
+    fn log_end_with(&self, plan: &RequestPlan, status: u16, reason: &str, extra: &str) {
+        self.shared
+            .metrics
+            .record_response(reason, self.shared.clock.now().since(self.received_at));
         let run = match plan.run_state() {
             RunState::NotRun => "not_run",
             _ => "may_have_run",
         };
-        self.shared.journal.line(|| {
+        self.shared.event_log.info(|| {
             format!(
                 "gateway: event=answer request={} digest={} route={} service={} version={} \
-                 status={status} reason={reason} run={run} attempts={} after_ms={}{more}",
-                self.tags.id,
+                 status={status} reason={reason} run={run} attempts={} after_ms={}{extra}",
+                self.metadata.id,
                 self.digest,
                 self.admission.route.name,
                 self.admission.service,
                 self.admission.version,
                 plan.tried().len(),
-                self.shared.clock.now().since(self.received).as_millis()
+                self.shared.clock.now().since(self.received_at).as_millis()
             )
         });
     }
--- a/crates/topazmount/src/fleet/exchange/relay.rs
+++ b/crates/topazmount/src/fleet/exchange/relay.rs
@@ -1,122 +1,134 @@
-//! Relays a stream's events as they come.
+//! Relays a stream's events to the client.
 
-use super::super::answer::{Delivery, forwarded_head};
-use super::{Exchange, Progress, StreamBegin, StreamEnd, until};
+use super::super::response::{BodyDelivery, forwarded_head};
+use super::{ClientProgress, Exchange, StreamEnd, StreamStart, with_timeout};
 use crate::http1::{LAST_CHUNK, chunk};
 use futures_lite::AsyncWriteExt;
 use std::time::Duration;
 use topazmount_gateway::Choice;
 
-/// Silence in the middle of a stream after which another replica is asked to resume it.
-const STREAM_SILENCE: Duration = Duration::from_millis(1_200);
+/// Time without data after which another replica is asked to resume a stream.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 impl Exchange<'_> {
-    /// Passes events on as they come.
+    /// Relays events as they arrive, until the stream ends or stalls.
     pub(super) async fn relay(
         &mut self,
-        begin: StreamBegin,
+        stream: StreamStart,
         choice: &Choice,
         may_resume: bool,
-        progress: &mut Progress,
+        progress: &mut ClientProgress,
     ) -> StreamEnd {
-        let StreamBegin { head, mut carrier, mut reader, mut splitter, first, is_until_close } =
-            begin;
+        let StreamStart {
+            head,
+            mut connection,
+            mut reader,
+            mut splitter,
+            first_event,
+            ends_at_close,
+        } = stream;
         let delivery = self.delivery();
         let mut out = Vec::new();
-        if !progress.has_begun {
+        if !progress.has_started {
             out = forwarded_head(&head, delivery, self.keeps_alive);
         }
-        if let Some(event) = first {
+        if let Some(event) = first_event {
             self.push_event(&mut out, event, progress, delivery);
         }
         loop {
             while let Some(event) = splitter.next() {
-                self.note_event_version(choice, &event);
+                self.record_event_version(choice, &event);
                 self.push_event(&mut out, event, progress, delivery);
             }
             if !out.is_empty() {
-                progress.has_begun = true;
-                match until(self.left(), self.client.write_all(&out)).await {
+                progress.has_started = true;
+                match with_timeout(self.remaining_time(), self.client.write_all(&out)).await {
                     Some(Ok(())) => out.clear(),
-                    Some(Err(_)) => return StreamEnd::ClientBroke,
-                    None => return StreamEnd::TimeOver,
+                    Some(Err(_)) => return StreamEnd::ClientDisconnected,
+                    None => return StreamEnd::DeadlineExceeded,
                 }
             }
-            let limit = self.left().min(STREAM_SILENCE);
-            match until(limit, reader.next(&mut carrier.wire)).await {
+            let limit = self.remaining_time().min(STALL_TIMEOUT);
+            match with_timeout(limit, reader.next(&mut connection.wire)).await {
                 Some(Ok(Some(bytes))) => splitter.push(&bytes),
-                Some(Ok(None)) if is_until_close && splitter.pending() > 0 => {
-                    return StreamEnd::ReplicaBroke;
+                Some(Ok(None)) if ends_at_close && splitter.buffered_len() > 0 => {
+                    return StreamEnd::ReplicaFailed;
                 }
                 Some(Ok(None)) => break,
-                Some(Err(_)) => return StreamEnd::ReplicaBroke,
-                None if self.left().is_zero() => return StreamEnd::TimeOver,
-                // Silence alone ends no stream; one without identifiers can't be resumed elsewhere.
-                None if may_resume && progress.last_event.is_some() => {
-                    let first = None;
-                    let held =
-                        StreamBegin { head, carrier, reader, splitter, first, is_until_close };
-                    return StreamEnd::Silent(Box::new(held));
+                Some(Err(_)) => return StreamEnd::ReplicaFailed,
+                None if self.remaining_time().is_zero() => return StreamEnd::DeadlineExceeded,
+                // A stalled stream is only left if it can be resumed; that needs event identifiers.
+                None if may_resume && progress.last_event_id.is_some() => {
+                    let first_event = None;
+                    let stalled = StreamStart {
+                        head,
+                        connection,
+                        reader,
+                        splitter,
+                        first_event,
+                        ends_at_close,
+                    };
+                    return StreamEnd::Stalled(Box::new(stalled));
                 }
                 None => {}
             }
         }
-        self.rest(choice, carrier);
-        let rest = splitter.rest();
-        push_body(&mut out, &rest, delivery);
-        if delivery == Delivery::Chunked {
+        self.return_to_pool(choice, connection);
+        let remainder = splitter.take_remainder();
+        push_body(&mut out, &remainder, delivery);
+        if delivery == BodyDelivery::Chunked {
             out.extend_from_slice(LAST_CHUNK);
         }
-        match until(self.left(), self.client.write_all(&out)).await {
+        match with_timeout(self.remaining_time(), self.client.write_all(&out)).await {
             Some(Ok(())) => StreamEnd::Complete,
-            _ => StreamEnd::ClientBroke,
+            _ => StreamEnd::ClientDisconnected,
         }
     }
 
-    /// A replica that loads in the middle of a stream tells with the next event.
-    fn note_event_version(&self, choice: &Choice, event: &[u8]) {
+    /// Records a change of weights that an event reports.
+    fn record_event_version(&self, choice: &Choice, event: &[u8]) {
         let version = self.shared.dialect.event_weights_version(event);
-        if let (Some(model), Some(version)) = (&self.tags.model, version) {
+        if let (Some(model), Some(version)) = (&self.metadata.model, version) {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
             knowledge.balancer().saw_version(choice, model, version);
         }
     }
 
-    /// Adds an event that the client does not have yet.
+    /// Adds an event to the output, unless the client already has it.
     fn push_event(
         &self,
         out: &mut Vec<u8>,
         event: Vec<u8>,
-        progress: &mut Progress,
-        delivery: Delivery,
+        progress: &mut ClientProgress,
+        delivery: BodyDelivery,
     ) {
         let id = self.shared.dialect.event_id(&event);
-        if is_at_or_before(id.as_deref(), progress.last_event.as_deref()) {
+        if is_at_or_before(id.as_deref(), progress.last_event_id.as_deref()) {
             return;
         }
         if id.is_some() {
-            progress.last_event = id;
+            progress.last_event_id = id;
         }
-        progress.pace.note_event(self.shared.clock.now());
+        progress.timing.record_event(self.shared.clock.now());
         push_body(out, &event, delivery);
     }
 
-    fn delivery(&self) -> Delivery {
-        if self.head.minor_version == 0 { Delivery::UntilClose } else { Delivery::Chunked }
+    fn delivery(&self) -> BodyDelivery {
+        if self.head.minor_version == 0 { BodyDelivery::UntilClose } else { BodyDelivery::Chunked }
     }
 }
 
-fn push_body(out: &mut Vec<u8>, bytes: &[u8], delivery: Delivery) {
+fn push_body(out: &mut Vec<u8>, bytes: &[u8], delivery: BodyDelivery) {
     if bytes.is_empty() {
         return;
     }
     match delivery {
-        Delivery::Chunked => out.extend_from_slice(&chunk(bytes)),
+        BodyDelivery::Chunked => out.extend_from_slice(&chunk(bytes)),
         _ => out.extend_from_slice(bytes),
     }
 }
 
-/// Whether an event is one that the client has. Identifiers that are numbers rise.
+/// Whether an event was already sent to the client. Only numeric identifiers can be compared.
 fn is_at_or_before(id: Option<&str>, last: Option<&str>) -> bool {
     let number = |text: Option<&str>| text.and_then(|text| text.trim().parse::<u64>().ok());
     match (number(id), number(last)) {
--- /dev/null
+++ b/crates/topazmount/src/fleet/exchange/responses.rs
@@ -0,0 +1,99 @@
+//! Sends the client a replica's response or an error response of the gateway.
+
+use super::super::response::{BodyDelivery, forwarded_head, response_to};
+use super::limit::OverLimit;
+use super::{ClientProgress, Exchange, ResponseOutcome};
+use crate::http1::ResponseHead;
+use futures_lite::AsyncWriteExt;
+use std::time::Duration;
+use topazmount_gateway::{ChoiceRequest, RequestPlan};
+use topazmount_types::ErrorKind;
+
+impl Exchange<'_> {
+    pub(super) async fn forward_response(
+        &mut self,
+        head: ResponseHead,
+        body: &[u8],
+        plan: &RequestPlan,
+    ) -> ResponseOutcome {
+        self.log_end(plan, head.status, "replica");
+        let delivery = BodyDelivery::Length(body.len());
+        let mut bytes = forwarded_head(&head, delivery, self.keeps_alive);
+        bytes.extend_from_slice(body);
+        match self.client.write_all(&bytes).await {
+            Ok(()) => ResponseOutcome::Complete,
+            Err(_) => ResponseOutcome::Truncated,
+        }
+    }
+
+    /// Ends a request that no replica served: forwards a replica's failure response if there is one,
+    /// since it says more than an error of the gateway.
+    pub(super) async fn finish_unserved(
+        &mut self,
+        plan: &RequestPlan,
+        progress: &ClientProgress,
+        kind: ErrorKind,
+        failure: Option<(ResponseHead, Vec<u8>)>,
+    ) -> ResponseOutcome {
+        match failure.filter(|_| !progress.has_started) {
+            Some((head, body)) => self.forward_response(head, &body, plan).await,
+            None => self.fail(plan, progress, kind).await,
+        }
+    }
+
+    pub(super) async fn fail(
+        &mut self,
+        plan: &RequestPlan,
+        progress: &ClientProgress,
+        kind: ErrorKind,
+    ) -> ResponseOutcome {
+        if progress.has_started {
+            self.log_end(plan, kind.status(), kind.name());
+            return ResponseOutcome::Truncated;
+        }
+        let wait = self.retry_after(plan, kind);
+        self.send_error(plan, kind, wait).await
+    }
+
+    fn retry_after(&self, plan: &RequestPlan, kind: ErrorKind) -> Option<Duration> {
+        let default_wait = self.shared.retry_after(kind)?;
+        if kind != ErrorKind::NoReplica {
+            return Some(default_wait);
+        }
+        let now = self.shared.clock.now();
+        let request = ChoiceRequest { exclude: &[], held_to: None, ..self.choice_request(plan) };
+        let backoff_wait = self.shared.knowledge.lock().unwrap().retry_after_rest(&request, now);
+        Some(backoff_wait.unwrap_or(default_wait))
+    }
+
+    /// Refuses a request that is over its tenant's limit.
+    pub(super) async fn reject_over_limit(
+        &mut self,
+        plan: &RequestPlan,
+        over: OverLimit,
+    ) -> ResponseOutcome {
+        match over {
+            OverLimit::Exhausted(wait) => {
+                self.send_error(plan, ErrorKind::TenantLimit, Some(wait)).await
+            }
+            OverLimit::NoGranter(wait) => {
+                self.send_error(plan, ErrorKind::Overloaded, Some(wait)).await
+            }
+        }
+    }
+
+    pub(super) async fn send_error(
+        &mut self,
+        plan: &RequestPlan,
+        kind: ErrorKind,
+        retry_after: Option<Duration>,
+    ) -> ResponseOutcome {
+        self.log_end(plan, kind.status(), kind.name());
+        let response = self.shared.dialect.error_response(kind, retry_after);
+        let bytes = response_to(&response, self.head, self.keeps_alive);
+        match self.client.write_all(&bytes).await {
+            Ok(()) => ResponseOutcome::Complete,
+            Err(_) => ResponseOutcome::Truncated,
+        }
+    }
+}
--- a/crates/topazmount/src/fleet/exchange/resume.rs
+++ b/crates/topazmount/src/fleet/exchange/resume.rs
@@ -1,135 +1,141 @@
-//! Takes a stream up at another replica when its own has fallen silent in the middle.
+//! Resumes a stalled stream at another replica.
 //!
-//! Silence alone does not tell a lost replica from one that reads a long prompt or loads weights: the
-//! stream is let go only once another replica has taken it.
+//! A stalled replica may be lost, or busy with a long prompt or a load of weights. It is dropped only
+//! once another replica has accepted the stream.
 
 use super::record::attempt_end_label;
-use super::{Attempt, Exchange, InFlight, Progress, StreamBegin, StreamEnd, until};
+use super::{
+    AttemptResult, ClientProgress, Exchange, InFlight, StreamEnd, StreamStart, with_timeout,
+};
 use crate::http1::BodyError;
 use std::pin::pin;
 use std::time::Duration;
 use topazmount_gateway::{AttemptEnd, RequestPlan};
 
-/// Time within which a replica that can't take a stream says so; then the silent one is let go. It is
-/// below the 400 ms for which two replicas may be at work on one stream.
-const REFUSAL_TIME: Duration = Duration::from_millis(300);
+/// Time for another replica to refuse a stream, after which the stalled one is dropped. Below the 400
+/// ms for which two replicas may work on one stream.
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Where a stream that had fallen silent goes on.
+/// Where a stalled stream continues.
 enum Resumed<'e> {
-    /// At its own replica.
-    Here(Box<StreamBegin>),
-    /// At another one.
-    There(InFlight<'e>, Box<StreamBegin>),
-    /// At none: its own was let go, and the other one failed it.
-    Nowhere(InFlight<'e>, AttemptEnd),
+    /// At the same replica.
+    SameReplica(Box<StreamStart>),
+    /// At another replica.
+    OtherReplica(InFlight<'e>, Box<StreamStart>),
+    /// Nowhere: the stalled replica was dropped and the other one failed.
+    Failed(InFlight<'e>, AttemptEnd),
 }
 
-/// What a stream's own replica or another one said first.
-enum FirstWord {
-    Own(Result<Option<Vec<u8>>, BodyError>),
-    Other(Attempt),
+/// First event while a stream is offered to another replica.
+enum FirstResult {
+    /// The stalled replica sent data or its connection ended.
+    Stalled(Result<Option<Vec<u8>>, BodyError>),
+    /// The attempt at the other replica has a result.
+    Other(AttemptResult),
 }
 
-/// What came of asking another replica beside a silent one.
-enum Beside {
-    /// The silent one spoke again.
-    Own(Box<StreamBegin>),
-    /// The other one can't take the stream; the silent one was held on to.
-    Refused(Box<StreamBegin>, AttemptEnd),
-    /// The silent one was let go; this is what the other one did.
-    Other(Attempt),
+/// Result of offering a stream to another replica.
+enum Handover {
+    /// The stalled replica continued.
+    StalledResumed(Box<StreamStart>),
+    /// The other replica refused the stream; the stalled one was kept.
+    Refused(Box<StreamStart>, AttemptEnd),
+    /// The stalled replica was dropped; this is the other one's result.
+    Taken(AttemptResult),
 }
 
 impl<'e> Exchange<'e> {
-    /// Relays a stream to its end, at other replicas where its own falls silent. Returns what holds
-    /// the last replica's place, and how the stream ended.
+    /// Relays a stream to its end, resuming it at other replicas when it stalls. Returns the request in
+    /// flight at the last replica and how the stream ended.
     pub(super) async fn relay_resuming(
         &mut self,
         plan: &mut RequestPlan,
         mut in_flight: InFlight<'e>,
-        mut begin: Box<StreamBegin>,
-        progress: &mut Progress,
+        mut stream: Box<StreamStart>,
+        progress: &mut ClientProgress,
     ) -> (InFlight<'e>, StreamEnd) {
         loop {
             let may_resume = self.may_switch(plan);
-            let end = self.relay(*begin, &in_flight.choice, may_resume, progress).await;
-            let StreamEnd::Silent(held) = end else { return (in_flight, end) };
-            match self.resume(plan, held, progress).await {
-                Resumed::Here(held) => begin = held,
-                Resumed::There(next, stream) => {
-                    self.let_go(in_flight);
-                    (in_flight, begin) = (next, stream);
+            let end = self.relay(*stream, &in_flight.choice, may_resume, progress).await;
+            let StreamEnd::Stalled(stalled) = end else { return (in_flight, end) };
+            match self.resume(plan, stalled, progress).await {
+                Resumed::SameReplica(stalled) => stream = stalled,
+                Resumed::OtherReplica(next, resumed) => {
+                    self.drop_stalled(in_flight);
+                    (in_flight, stream) = (next, resumed);
                 }
-                Resumed::Nowhere(next, end) => {
-                    self.let_go(in_flight);
-                    return (next, StreamEnd::NotResumed(end));
+                Resumed::Failed(next, end) => {
+                    self.drop_stalled(in_flight);
+                    return (next, StreamEnd::ResumeFailed(end));
                 }
             }
         }
     }
 
-    /// A silent replica was let go.
-    fn let_go(&self, in_flight: InFlight<'_>) {
-        self.note_failure(&in_flight, AttemptEnd::Broken);
+    /// Records the failure of a stalled replica and drops its request.
+    fn drop_stalled(&self, in_flight: InFlight<'_>) {
+        self.record_failure(&in_flight, AttemptEnd::Broken);
         self.log_attempt(&in_flight.choice, "silent_in_stream");
     }
 
-    /// Asks another replica to go on, and holds on to the silent one until the other has taken the
-    /// stream.
+    /// Offers the stream to another replica; the stalled one is kept until the other accepts.
     async fn resume(
         &self,
         plan: &mut RequestPlan,
-        held: Box<StreamBegin>,
-        progress: &Progress,
+        stalled: Box<StreamStart>,
+        progress: &ClientProgress,
     ) -> Resumed<'e> {
-        let Some(in_flight) = self.choose(plan).await else { return Resumed::Here(held) };
-        if !self.may_repeat() {
-            return Resumed::Here(held);
+        let Some(in_flight) = self.choose(plan).await else { return Resumed::SameReplica(stalled) };
+        if !self.take_retry() {
+            return Resumed::SameReplica(stalled);
         }
         plan.begin(in_flight.choice.instance.incarnation_name());
-        match self.ask_beside(plan, &in_flight, held, progress).await {
-            Beside::Own(held) => Resumed::Here(held),
-            Beside::Refused(held, end) => {
-                self.note_failure(&in_flight, end);
+        match self.hand_over(plan, &in_flight, stalled, progress).await {
+            Handover::StalledResumed(stalled) => Resumed::SameReplica(stalled),
+            Handover::Refused(stalled, end) => {
+                self.record_failure(&in_flight, end);
                 self.log_attempt(&in_flight.choice, attempt_end_label(end));
                 plan.end(end);
-                Resumed::Here(held)
+                Resumed::SameReplica(stalled)
             }
-            Beside::Other(Attempt::Stream(stream)) => Resumed::There(in_flight, stream),
-            Beside::Other(Attempt::Ended(end)) => Resumed::Nowhere(in_flight, end),
-            Beside::Other(Attempt::Failure(..) | Attempt::Success(..)) => {
-                Resumed::Nowhere(in_flight, AttemptEnd::Failed)
+            Handover::Taken(AttemptResult::Stream(stream)) => {
+                Resumed::OtherReplica(in_flight, stream)
+            }
+            Handover::Taken(AttemptResult::Ended(end)) => Resumed::Failed(in_flight, end),
+            Handover::Taken(AttemptResult::Failure(..) | AttemptResult::Success(..)) => {
+                Resumed::Failed(in_flight, AttemptEnd::Failed)
             }
         }
     }
 
-    /// Sends the request to another replica, and reads on at the silent one until the other has had
-    /// time to refuse.
-    async fn ask_beside(
+    /// Sends the request to another replica while still reading from the stalled one, until the other
+    /// has had time to refuse.
+    async fn hand_over(
         &self,
         plan: &RequestPlan,
         in_flight: &InFlight<'_>,
-        mut held: Box<StreamBegin>,
-        progress: &Progress,
-    ) -> Beside {
+        mut stalled: Box<StreamStart>,
+        progress: &ClientProgress,
+    ) -> Handover {
         let mut other = pin!(self.attempt(plan, in_flight, progress));
-        let word = {
-            let StreamBegin { reader, carrier, .. } = held.as_mut();
-            let own = async { FirstWord::Own(reader.next(&mut carrier.wire).await) };
-            let other = async { FirstWord::Other(other.as_mut().await) };
-            until(REFUSAL_TIME, futures_lite::future::or(other, own)).await
+        let first = {
+            let StreamStart { reader, connection, .. } = stalled.as_mut();
+            let stalled_data =
+                async { FirstResult::Stalled(reader.next(&mut connection.wire).await) };
+            let other = async { FirstResult::Other(other.as_mut().await) };
+            with_timeout(REFUSAL_TIMEOUT, futures_lite::future::or(other, stalled_data)).await
         };
-        match word {
-            Some(FirstWord::Own(Ok(bytes))) => {
-                // An end is read again by who relays the stream.
-                held.splitter.push(&bytes.unwrap_or_default());
-                Beside::Own(held)
+        match first {
+            Some(FirstResult::Stalled(Ok(data))) => {
+                // The end of the body is read again by `relay`.
+                stalled.splitter.push(&data.unwrap_or_default());
+                Handover::StalledResumed(stalled)
             }
-            Some(FirstWord::Other(Attempt::Ended(end))) => Beside::Refused(held, end),
-            Some(FirstWord::Other(attempt)) => Beside::Other(attempt),
-            Some(FirstWord::Own(Err(_))) | None => {
-                drop(held);
-                Beside::Other(other.await)
+            Some(FirstResult::Other(AttemptResult::Ended(end))) => Handover::Refused(stalled, end),
+            Some(FirstResult::Other(attempt)) => Handover::Taken(attempt),
+            Some(FirstResult::Stalled(Err(_))) | None => {
+                drop(stalled);
+                Handover::Taken(other.await)
             }
         }
     }
--- a/crates/topazmount/src/fleet/external_log.rs
+++ b/crates/topazmount/src/fleet/external_log.rs
@@ -1,29 +1,30 @@
-//! What other writers say in replicas' names, counted and logged. Who writes so may do it thousands of times a second
-//! and under any identifier, so that lines are bounded in number and in length.
+//! Counts and logs calls that external writers make in replicas' names. They may come at any rate and
+//! under any identifier, so that the number and length of log lines are limited.
 
 use super::metrics::Metrics;
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Time for which lines are counted.
+/// Period over which lines are limited.
 const WINDOW: Duration = Duration::from_secs(5);
-/// Most lines in that time, over all identifiers.
-const MOST_LINES: usize = 32;
-/// Characters of an identifier that are shown.
-const SHOWN: usize = 64;
+/// Maximum number of lines per window, over all identifiers.
+const MAX_LINES: usize = 32;
+/// Characters of an identifier that are logged.
+const MAX_ID_CHARS: usize = 64;
 
-/// Which lines are written: one for each event and identifier in 5 s, and 32 in all.
+/// Limits log lines to one per event and identifier in a window, and to a total number per window.
 #[derive(Debug, Default)]
 pub struct ExternalLogLimiter {
-    began: Option<Instant>,
+    window_start: Option<Instant>,
     written: HashSet<(&'static str, String)>,
-    left_out: u64,
+    /// Lines dropped in the current window.
+    dropped: u64,
 }
 
 impl ExternalLogLimiter {
-    /// The lines to write now about something that was said under an identifier.
-    pub fn note(
+    /// Lines to write now for an event under an identifier.
+    pub fn lines(
         &mut self,
         now: Instant,
         event: &'static str,
@@ -31,51 +32,52 @@
         reason: &str,
     ) -> Vec<String> {
         let mut lines = Vec::new();
-        let is_over = |began: Instant| now.saturating_duration_since(began) >= WINDOW;
-        if self.began.is_none_or(is_over) {
-            self.began = Some(now);
+        let is_expired =
+            |window_start: Instant| now.saturating_duration_since(window_start) >= WINDOW;
+        if self.window_start.is_none_or(is_expired) {
+            self.window_start = Some(now);
             self.written.clear();
-            let left_out = std::mem::take(&mut self.left_out);
-            if left_out > 0 {
-                lines.push(format!("event=foreign_left_out lines={left_out}"));
+            let dropped = std::mem::take(&mut self.dropped);
+            if dropped > 0 {
+                lines.push(format!("event=foreign_left_out lines={dropped}"));
             }
         }
-        let shown = shown(id);
-        let matter = (event, shown);
-        if self.written.len() < MOST_LINES && !self.written.contains(&matter) {
-            lines.push(format!("event={event} id={} reason={reason}", matter.1));
-            self.written.insert(matter);
+        let id_text = shorten_id(id);
+        let key = (event, id_text);
+        if self.written.len() < MAX_LINES && !self.written.contains(&key) {
+            lines.push(format!("event={event} id={} reason={reason}", key.1));
+            self.written.insert(key);
         } else {
-            self.left_out += 1;
+            self.dropped += 1;
         }
         lines
     }
 }
 
-/// The beginning of an identifier, escaped, and its length where that is not all.
-fn shown(id: &str) -> String {
-    let beginning: String = id.chars().take(SHOWN).flat_map(char::escape_default).collect();
-    match id.chars().nth(SHOWN) {
-        Some(_) => format!("{beginning}...{}_bytes", id.len()),
-        None => beginning,
+/// The start of an identifier, escaped, followed by its length if it is cut.
+fn shorten_id(id: &str) -> String {
+    let start: String = id.chars().take(MAX_ID_CHARS).flat_map(char::escape_default).collect();
+    match id.chars().nth(MAX_ID_CHARS) {
+        Some(_) => format!("{start}...{}_bytes", id.len()),
+        None => start,
     }
 }
 
-/// The log and the counters of a control member.
+/// Logs and counts the calls of external writers.
 pub(super) struct ExternalLog {
     metrics: Arc<Metrics>,
-    lines: Mutex<ExternalLogLimiter>,
+    limiter: Mutex<ExternalLogLimiter>,
 }
 
 impl ExternalLog {
     pub(super) fn new(metrics: Arc<Metrics>) -> Self {
-        ExternalLog { metrics, lines: Mutex::default() }
+        ExternalLog { metrics, limiter: Mutex::default() }
     }
 
-    /// Notes that something was said under an identifier that is no replica's own word.
-    pub(super) fn note(&self, event: &'static str, id: &str, reason: &str) {
-        self.metrics.event(event);
-        for line in self.lines.lock().unwrap().note(Instant::now(), event, id, reason) {
+    /// Logs and counts an event under an identifier.
+    pub(super) fn record(&self, event: &'static str, id: &str, reason: &str) {
+        self.metrics.count_event(event);
+        for line in self.limiter.lock().unwrap().lines(Instant::now(), event, id, reason) {
             log::info!("control: {line}");
         }
     }
--- a/crates/topazmount/src/fleet/gateway.rs
+++ b/crates/topazmount/src/fleet/gateway.rs
@@ -1,17 +1,17 @@
-//! The gateway process: takes clients' requests and forwards them to registered replicas.
+//! The gateway process: forwards clients' requests to registered replicas.
 
 use super::clients;
 use super::crash_watch;
 use super::dialect::{ControlCall, Dialect, HttpResponse};
 use super::http_service::{self, Service};
-use super::journal::Journal;
 use super::metrics::{Metrics, MetricsService};
 use super::peers::{self, Peers};
 use super::pool::Pool;
+use super::rate_limited_log::RateLimitedLog;
 use super::request_reader::ReadLimits;
 use super::settings::FleetSettings;
 use super::store_reader;
-use super::watcher::{NewsReader, Seeds, Watcher};
+use super::watcher::{Seeds, WatchHandler, Watcher};
 use crate::Executor;
 use crate::clock::Clock;
 use crate::http1::RequestHead;
@@ -26,80 +26,80 @@
 use topazmount_types::{ErrorKind, Instance, Time};
 use topazmount_wire::ClusterKey;
 
-/// Time for which a stopping gateway still takes requests: clients hold an answer of the directory
-/// for up to three times its life. Later ones might not end before the process does.
+/// Time for which a stopping gateway still accepts requests: clients may use a directory response for
+/// up to three times its time to live.
 const LEAVING_TIME: Duration = Duration::from_millis(2_700);
-/// Part of the time of a planned stop that is kept back for the end of the process.
+/// Part of the stop timeout that is reserved for ending the process.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
-/// How often a stopping gateway looks whether it is done.
-const STOP_CHECK: Duration = Duration::from_millis(50);
+/// How often a stopping gateway checks whether it can stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a gateway needs.
+/// Options of a gateway.
 pub struct GatewayOptions {
-    /// Settings.
+    /// Settings of the process.
     pub settings: FleetSettings,
-    /// Names, formats and calls.
+    /// Defines headers, paths and body formats.
     pub dialect: Arc<dyn Dialect>,
 }
 
 /// State that all tasks of a gateway share.
-pub(super) struct Shared {
+pub(super) struct SharedState {
     pub(super) clock: Clock,
     pub(super) dialect: Arc<dyn Dialect>,
     pub(super) knowledge: Mutex<Knowledge>,
-    pub(super) journal: Journal,
+    pub(super) event_log: RateLimitedLog,
     pub(super) metrics: Metrics,
     pub(super) peers: Arc<Peers>,
-    /// Connections to replicas at rest.
+    /// Idle connections to replicas.
     pub(super) pool: Pool,
-    /// Replicas at which a connection broke under a request.
-    pub(super) broken_at: Sender<Instance>,
-    /// Wakes the watcher, to report at once.
-    nudge: Sender<()>,
+    /// Replicas whose connection broke while they served a request.
+    pub(super) broken_connections: Sender<Instance>,
+    /// Makes the watcher send a report at once.
+    report_requests: Sender<()>,
     is_stopping: AtomicBool,
     /// Whether new requests are refused.
-    pub(super) is_closed: AtomicBool,
+    pub(super) refuses_requests: AtomicBool,
     pub(super) open_requests: AtomicUsize,
 }
 
 /// A running gateway.
 pub struct Gateway {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     stop_time: Duration,
     seeds: Seeds,
 }
 
 impl Gateway {
-    /// Starts the listeners and asks the control group for news.
+    /// Starts the listeners and watches the control group.
     ///
     /// # Errors
-    /// When settings lack something or an address can't be bound.
+    /// If a required setting is missing or an address can't be bound.
     pub async fn start(executor: &Executor, options: GatewayOptions) -> Result<Self> {
         let GatewayOptions { settings, dialect } = options;
         let clients = settings.listen.clients;
-        let clients = clients.ok_or_else(|| eyre!("listen.clients: a gateway needs it"))?;
+        let clients = clients.ok_or_else(|| eyre!("listen.clients: required by a gateway"))?;
         let clock = Clock::start();
         let key = ClusterKey::from_text(&settings.cluster_key);
         let peers = Peers::bind(clients, settings.peer_port, key.clone()).await;
-        let peers = Arc::new(peers.wrap_err("listening for other gateways")?);
+        let peers = Arc::new(peers.wrap_err("binding the socket for messages between gateways")?);
         let mut knowledge =
             Knowledge::new(&settings.zone, settings.gateway_settings(), rand::random());
         settings.load_policies(knowledge.policies())?;
         knowledge.set_own_address(peers.own_address());
-        let (nudge, nudges) = async_channel::bounded(1);
-        let (broken_at, broken) = async_channel::bounded(crash_watch::MOST_WAITING);
-        let shared = Arc::new(Shared {
+        let (report_sender, report_requests) = async_channel::bounded(1);
+        let (broken_connections, broken) = async_channel::bounded(crash_watch::MAX_PENDING);
+        let shared = Arc::new(SharedState {
             clock,
             dialect,
             knowledge: Mutex::new(knowledge),
-            journal: Journal::default(),
+            event_log: RateLimitedLog::default(),
             metrics: Metrics::default(),
             peers: peers.clone(),
             pool: Pool::default(),
-            broken_at,
-            nudge,
+            broken_connections,
+            report_requests: report_sender,
             is_stopping: AtomicBool::new(false),
-            is_closed: AtomicBool::new(false),
+            refuses_requests: AtomicBool::new(false),
             open_requests: AtomicUsize::new(0),
         });
         let listener =
@@ -114,8 +114,8 @@
             let service = MetricsService(move || std::future::ready(shared.render_metrics()));
             http_service::serve(executor, address, Arc::new(service)).await?;
         }
-        executor.spawn(peers::send_waiting(peers.clone())).detach();
-        executor.spawn(peers::listen(peers, shared.clone())).detach();
+        executor.spawn(peers::run_sender(peers.clone())).detach();
+        executor.spawn(peers::run_receiver(peers, shared.clone())).detach();
         executor.spawn(crash_watch::run(executor.clone(), shared.clone(), broken)).detach();
         executor.spawn(store_reader::run(executor.clone(), shared.clone())).detach();
         let seeds = Seeds::new(settings.seed_peer_addresses());
@@ -126,13 +126,13 @@
             region: settings.region.clone(),
             is_ready: false,
         };
-        let news = News { shared: shared.clone(), report };
-        executor.spawn(watcher.run(news, nudges)).detach();
+        let watch = GatewayWatch { shared: shared.clone(), report };
+        executor.spawn(watcher.run(watch, report_requests)).detach();
         log::info!("gateway: event=start name={} zone={}", settings.name, settings.zone);
         Ok(Gateway { shared, stop_time: settings.stop_timeout(), seeds })
     }
 
-    /// Takes changed settings into use; addresses and names stay until the next start.
+    /// Applies changed settings. Addresses and names only change at the next start.
     pub fn reload(&self, settings: &FleetSettings) {
         let mut knowledge = self.shared.knowledge.lock().unwrap();
         if let Err(error) = settings.load_policies(knowledge.policies()) {
@@ -144,22 +144,22 @@
         log::info!("gateway: event=reload policies={}", settings.policies.len());
     }
 
-    /// Stops as planned: tells that it is not ready, finishes what comes in until clients have
-    /// turned elsewhere, then ends.
+    /// Stops gracefully: reports that the gateway is not ready, serves requests until clients have had
+    /// time to turn to other gateways, then returns.
     pub async fn stop(self) {
         log::info!("gateway: event=stop");
         self.shared.is_stopping.store(true, Ordering::SeqCst);
-        self.shared.report_at_once();
-        let began = self.shared.clock.now();
-        let ends_at = began + self.stop_time.saturating_sub(STOP_MARGIN);
+        self.shared.request_report();
+        let started_at = self.shared.clock.now();
+        let deadline = started_at + self.stop_time.saturating_sub(STOP_MARGIN);
         loop {
-            async_io::Timer::after(STOP_CHECK).await;
+            async_io::Timer::after(STOP_CHECK_INTERVAL).await;
             let now = self.shared.clock.now();
             let is_idle = self.shared.open_requests.load(Ordering::SeqCst) == 0;
-            if now >= began + LEAVING_TIME {
-                self.shared.is_closed.store(true, Ordering::SeqCst);
+            if now >= started_at + LEAVING_TIME {
+                self.shared.refuses_requests.store(true, Ordering::SeqCst);
             }
-            if now >= ends_at || (is_idle && now >= began + LEAVING_TIME) {
+            if now >= deadline || (is_idle && now >= started_at + LEAVING_TIME) {
                 break;
             }
         }
@@ -168,10 +168,10 @@
     }
 }
 
-impl Shared {
-    /// Has the watcher report at once; where it is about to, nothing more is needed.
-    pub(super) fn report_at_once(&self) {
-        let _ = self.nudge.try_send(());
+impl SharedState {
+    /// Makes the watcher send a report at once, unless that is already pending.
+    pub(super) fn request_report(&self) {
+        let _ = self.report_requests.try_send(());
     }
 
     pub(super) fn is_stopping(&self) -> bool {
@@ -184,23 +184,23 @@
         {
             let mut knowledge = self.knowledge.lock().unwrap();
             let seen = knowledge.seen();
-            self.metrics.set_state("configuration_version", seen.document as i64);
-            self.metrics.set_state("registry_revision", seen.revision as i64);
+            self.metrics.set_gauge("configuration_version", seen.document as i64);
+            self.metrics.set_gauge("registry_revision", seen.revision as i64);
             for (name, counters) in knowledge.policies().report() {
-                self.metrics.set_policy(name, counters);
+                self.metrics.set_policy_counters(name, counters);
             }
             let blocked = knowledge.crashes().blocked_count();
-            self.metrics.set_state("blocked_requests", blocked as i64);
-            let (resting, leaving) = knowledge.balancer().pushback_counts(self.clock.now());
-            self.metrics.set_state("resting_replicas", resting as i64);
-            self.metrics.set_state("leaving_replicas", leaving as i64);
+            self.metrics.set_gauge("blocked_requests", blocked as i64);
+            let (in_backoff, leaving) = knowledge.balancer().pushback_counts(self.clock.now());
+            self.metrics.set_gauge("resting_replicas", in_backoff as i64);
+            self.metrics.set_gauge("leaving_replicas", leaving as i64);
             let limited = knowledge.balancer().limited_count();
-            self.metrics.set_state("limited_replicas", limited as i64);
-            self.metrics.set_state("replicas", knowledge.balancer().instances().count() as i64);
+            self.metrics.set_gauge("limited_replicas", limited as i64);
+            self.metrics.set_gauge("replicas", knowledge.balancer().instances().count() as i64);
         }
-        self.metrics.set_state("ready", i64::from(is_ready));
-        self.metrics.set_state("open_requests", open as i64);
-        self.metrics.set_state("kept_connections", self.pool.count() as i64);
+        self.metrics.set_gauge("ready", i64::from(is_ready));
+        self.metrics.set_gauge("open_requests", open as i64);
+        self.metrics.set_gauge("kept_connections", self.pool.count() as i64);
         self.metrics.render()
     }
 
@@ -209,31 +209,31 @@
         !self.is_stopping() && self.knowledge.lock().unwrap().is_confirmed(now)
     }
 
-    /// Bounds on what clients may send, as the catalog in force says.
+    /// Limits on clients' requests, from the current catalog.
     pub(super) fn read_limits(&self) -> ReadLimits {
         let knowledge = self.knowledge.lock().unwrap();
         let limits =
             knowledge.catalog().map_or_else(HttpLimits::default, |catalog| catalog.limits());
         ReadLimits {
-            max_head: limits.max_header_bytes,
-            max_body: limits.max_body_bytes,
-            rest: limits.idle_timeout,
-            head: limits.header_timeout,
-            body: limits.idle_timeout,
+            max_head_bytes: limits.max_header_bytes,
+            max_body_bytes: limits.max_body_bytes,
+            idle_timeout: limits.idle_timeout,
+            head_timeout: limits.header_timeout,
+            body_timeout: limits.idle_timeout,
         }
     }
 
-    /// When a refused client may come back.
+    /// Retry delay for a refused client.
     pub(super) fn retry_after(&self, kind: ErrorKind) -> Option<Duration> {
         kind.retry_after().filter(|_| kind.status() == 503)?;
         Some(self.knowledge.lock().unwrap().retry_after(kind, self.clock.now()))
     }
 }
 
-struct Readiness(Arc<Shared>);
+struct Readiness(Arc<SharedState>);
 
 impl Service for Readiness {
-    async fn answer(&self, head: RequestHead, body: Vec<u8>) -> HttpResponse {
+    async fn handle(&self, head: RequestHead, body: Vec<u8>) -> HttpResponse {
         let dialect = &self.0.dialect;
         match dialect.parse_control_call(&head, &body) {
             ControlCall::Readiness if self.0.is_ready() => dialect.message_response(200, "ready"),
@@ -243,35 +243,36 @@
     }
 }
 
-struct News {
-    shared: Arc<Shared>,
+/// Applies views from the control group to the gateway.
+struct GatewayWatch {
+    shared: Arc<SharedState>,
     report: GatewayReport,
 }
 
-impl News {
-    /// Gateways that have just been named learn the limits that this one grants of before they send much.
-    fn tell_newcomers(&self) {
+impl GatewayWatch {
+    /// Sends the replica limits that this gateway grants to gateways that have just been listed.
+    fn send_limits_to_new_gateways(&self) {
         let now = self.shared.clock.now();
-        let (newcomers, limits) = self.shared.knowledge.lock().unwrap().news_for_newcomers(now);
-        for news in limits {
-            self.shared.peers.tell_limit(newcomers.clone(), news);
+        let (new_gateways, limits) = self.shared.knowledge.lock().unwrap().news_for_newcomers(now);
+        for update in limits {
+            self.shared.peers.send_limit_update(new_gateways.clone(), update);
         }
     }
 }
 
-impl NewsReader for News {
-    fn request(&mut self) -> (Seen, Option<GatewayReport>) {
+impl WatchHandler for GatewayWatch {
+    fn watch_state(&mut self) -> (Seen, Option<GatewayReport>) {
         let is_ready = self.shared.is_ready();
         let report = GatewayReport { is_ready, ..self.report.clone() };
         (self.shared.knowledge.lock().unwrap().seen(), Some(report))
     }
 
-    fn crashes(&mut self) -> CrashNotes {
+    fn crash_notes(&mut self) -> CrashNotes {
         let now = self.shared.clock.now();
         self.shared.knowledge.lock().unwrap().crashes().notes(now)
     }
 
-    fn read(&mut self, view: FleetView, asked_at: Time) {
+    fn on_view(&mut self, view: FleetView, requested_at: Time) {
         let catalog = view.document.as_ref().and_then(|document| {
             let catalog = self.shared.dialect.parse_catalog(&document.bytes);
             if let Err(problem) = &catalog {
@@ -280,7 +281,7 @@
             catalog.ok()
         });
         if let Some(catalog) = &catalog {
-            self.shared.metrics.event("configuration");
+            self.shared.metrics.count_event("configuration");
             log::info!("gateway: event=configuration version={}", catalog.version());
         }
         for instance in &view.instances {
@@ -307,21 +308,21 @@
             let mut knowledge = self.shared.knowledge.lock().unwrap();
             let now = self.shared.clock.now();
             let crashed = knowledge.confirm_crashes(&view, now);
-            let changes = knowledge.apply(&view, catalog, asked_at);
-            knowledge.confirm_grants(&view, asked_at, now);
+            let changes = knowledge.apply(&view, catalog, requested_at);
+            knowledge.confirm_grants(&view, requested_at, now);
             (crashed, knowledge.apply_blocked(&view, now), changes)
         };
-        self.tell_newcomers();
-        changes.iter().for_each(|change| self.shared.note_change(change, "status"));
+        self.send_limits_to_new_gateways();
+        changes.iter().for_each(|change| self.shared.handle_change(change, "status"));
         for (instance, requests) in crashed {
-            crash_watch::tell(&self.shared, &instance, requests, "replaced");
+            crash_watch::report_crash(&self.shared, &instance, requests, "replaced");
         }
         for digest in blocked {
-            self.shared.metrics.event("request_blocked");
+            self.shared.metrics.count_event("request_blocked");
             log::warn!("gateway: event=request_blocked digest={digest}");
         }
         for digest in released {
-            self.shared.metrics.event("request_released");
+            self.shared.metrics.count_event("request_released");
             log::info!("gateway: event=request_released digest={digest}");
         }
     }
--- a/crates/topazmount/src/fleet/metrics.rs
+++ b/crates/topazmount/src/fleet/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a fleet's processes, in Prometheus' text format.
+//! Metrics of a fleet's processes, in Prometheus' text format.
 
 use super::dialect::HttpResponse;
 use super::http_service::Service;
@@ -11,25 +11,25 @@
 use std::time::Duration;
 use topazmount_routing::PolicyCounters;
 
-/// Path of the metrics.
+/// Path at which metrics are served.
 pub const METRICS_PATH: &str = "/metrics";
 /// Upper bounds of latency buckets, in seconds.
 const BUCKETS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
 
-/// What a process counts. All names begin with `topazmount_`.
+/// Metrics of a process. All names start with `topazmount_`.
 pub struct Metrics {
     registry: Registry,
-    answers: IntCounterVec,
+    responses: IntCounterVec,
     attempts: IntCounterVec,
     calls: IntCounterVec,
     events: IntCounterVec,
     latency: HistogramVec,
-    state: IntGaugeVec,
+    gauges: IntGaugeVec,
     policies: GaugeVec,
     messages: IntCounterVec,
     message_bytes: IntCounterVec,
-    message_busy: IntCounterVec,
-    rests: IntCounterVec,
+    message_busy_us: IntCounterVec,
+    backoff_ms: IntCounterVec,
 }
 
 impl Default for Metrics {
@@ -42,7 +42,7 @@
             registry.register(Box::new(vector.clone())).expect("each is registered once");
             vector
         };
-        let answers = counter("answers", "Answers to clients by reason.", &["reason"]);
+        let responses = counter("answers", "Answers to clients by reason.", &["reason"]);
         let attempts = counter("attempts", "Attempts at replicas by end.", &["end"]);
         let calls =
             counter("calls", "Calls to the control plane by kind and status.", &["call", "status"]);
@@ -51,86 +51,87 @@
         let messages = counter("messages", "Messages between members and watchers.", &by_kind);
         let message_bytes = counter("message_bytes", "Their bytes.", &by_kind);
         let help = "Milliseconds for which replicas asked this process for rest.";
-        let rests = counter("rest_ms", help, &["service"]);
+        let backoff_ms = counter("rest_ms", help, &["service"]);
         let help = "Microseconds for encoding, decoding and, of way step, the member's thread.";
-        let message_busy = counter("message_busy_us", help, &by_kind);
+        let message_busy_us = counter("message_busy_us", help, &by_kind);
         let options = HistogramOpts::new("seconds", "Time from reading a request, by what ended.")
             .buckets(BUCKETS.to_vec());
         let latency =
             HistogramVec::new(options, &["until"]).expect("names and labels are valid and differ");
-        let state = IntGaugeVec::new(Opts::new("state", "What the process believes."), &["of"])
+        let gauges = IntGaugeVec::new(Opts::new("state", "What the process believes."), &["of"])
             .expect("names and labels are valid and differ");
         registry.register(Box::new(latency.clone())).expect("each is registered once");
-        registry.register(Box::new(state.clone())).expect("each is registered once");
+        registry.register(Box::new(gauges.clone())).expect("each is registered once");
         let policies =
             GaugeVec::new(Opts::new("policy", "What each policy did."), &["policy", "figure"])
                 .expect("names and labels are valid and differ");
         registry.register(Box::new(policies.clone())).expect("each is registered once");
         Metrics {
             registry,
-            answers,
+            responses,
             attempts,
             calls,
             events,
             latency,
-            state,
+            gauges,
             policies,
             messages,
             message_bytes,
-            message_busy,
-            rests,
+            message_busy_us,
+            backoff_ms,
         }
     }
 }
 
 impl Metrics {
-    /// Counts an answer to a client, given `after` the request was read.
-    pub fn answer(&self, reason: &str, after: Duration) {
-        self.answers.with_label_values(&[reason]).inc();
-        self.latency.with_label_values(&["answer"]).observe(after.as_secs_f64());
+    /// Records a response to a client, sent `elapsed` after the request was read.
+    pub fn record_response(&self, reason: &str, elapsed: Duration) {
+        self.responses.with_label_values(&[reason]).inc();
+        self.latency.with_label_values(&["answer"]).observe(elapsed.as_secs_f64());
     }
 
-    /// Counts an attempt at a replica.
-    pub fn attempt(&self, end: &str) {
+    /// Counts an attempt at a replica by its end.
+    pub fn count_attempt(&self, end: &str) {
         self.attempts.with_label_values(&[end]).inc();
     }
 
-    /// Counts time for which a replica of a service asked for rest, beyond what was known.
-    pub fn rest(&self, service: &str, time: Duration) {
-        self.rests.with_label_values(&[service]).inc_by(time.as_millis() as u64);
+    /// Adds backoff time that a replica of a service requested beyond what was already known.
+    pub fn add_backoff(&self, service: &str, time: Duration) {
+        self.backoff_ms.with_label_values(&[service]).inc_by(time.as_millis() as u64);
     }
 
-    /// Notes the first event of a stream, `after` the request was read.
-    pub fn first_event(&self, after: Duration) {
-        self.latency.with_label_values(&["first_event"]).observe(after.as_secs_f64());
+    /// Records the first event of a stream, received `elapsed` after the request was read.
+    pub fn record_first_event(&self, elapsed: Duration) {
+        self.latency.with_label_values(&["first_event"]).observe(elapsed.as_secs_f64());
     }
 
-    /// Notes the longest pause between two events of a stream.
-    pub fn longest_pause(&self, pause: Duration) {
-        self.latency.with_label_values(&["longest_pause"]).observe(pause.as_secs_f64());
+    /// Records the longest gap between two events of a stream.
+    pub fn record_longest_gap(&self, gap: Duration) {
+        self.latency.with_label_values(&["longest_pause"]).observe(gap.as_secs_f64());
     }
 
-    /// Counts a call to the control plane.
-    pub fn call(&self, call: &str, status: u16, took: Duration) {
+    /// Records a call to the control plane.
+    pub fn record_call(&self, call: &str, status: u16, elapsed: Duration) {
         self.calls.with_label_values(&[call, &status.to_string()]).inc();
-        self.latency.with_label_values(&[call]).observe(took.as_secs_f64());
+        self.latency.with_label_values(&[call]).observe(elapsed.as_secs_f64());
     }
 
-    /// Counts a change of what the process believes.
-    pub fn event(&self, event: &str) {
+    /// Counts an event.
+    pub fn count_event(&self, event: &str) {
         self.events.with_label_values(&[event]).inc();
     }
 
-    /// Sets what the process believes.
-    pub fn set_state(&self, of: &str, value: i64) {
-        self.state.with_label_values(&[of]).set(value);
+    /// Sets a gauge of the process's state.
+    pub fn set_gauge(&self, name: &str, value: i64) {
+        self.gauges.with_label_values(&[name]).set(value);
     }
 
-    /// Sets what a policy did. Tokens found kept are those that the gateway expected to be.
-    pub fn set_policy(&self, name: &str, counters: &PolicyCounters) {
-        let firsts = counters.first_tokens as f64;
-        let mean = if firsts > 0.0 { counters.first_token_ms_sum / firsts } else { 0.0 };
-        let figures = [
+    /// Sets the counters of a policy. Cached tokens are those that the gateway expected to be cached.
+    pub fn set_policy_counters(&self, name: &str, counters: &PolicyCounters) {
+        let first_tokens = counters.first_tokens as f64;
+        let mean =
+            if first_tokens > 0.0 { counters.first_token_ms_sum / first_tokens } else { 0.0 };
+        let stats = [
             ("decided", counters.decided as f64),
             ("refused", counters.refused as f64),
             ("shadowed", counters.shadowed as f64),
@@ -140,28 +141,28 @@
             ("expected_kept_tokens", counters.cached_tokens as f64),
             ("first_token_ms_mean", mean),
         ];
-        for (figure, value) in figures {
-            self.policies.with_label_values(&[name, figure]).set(value);
+        for (stat, value) in stats {
+            self.policies.with_label_values(&[name, stat]).set(value);
         }
     }
 
-    /// Takes over what a member's messages cost so far.
-    pub fn set_messages(&self, meter: &MessageMeter) {
+    /// Raises the message counters to a member's totals.
+    pub fn set_message_totals(&self, meter: &MessageMeter) {
         for ((way, kind), totals) in meter.totals() {
-            let busy = u64::try_from(totals.busy.as_micros()).unwrap_or(u64::MAX);
-            let figures = [
+            let busy_us = u64::try_from(totals.busy.as_micros()).unwrap_or(u64::MAX);
+            let stats = [
                 (&self.messages, totals.count),
                 (&self.message_bytes, totals.bytes),
-                (&self.message_busy, busy),
+                (&self.message_busy_us, busy_us),
             ];
-            for (counter, value) in figures {
+            for (counter, value) in stats {
                 let counter = counter.with_label_values(&[way.name(), kind]);
                 counter.inc_by(value.saturating_sub(counter.get()));
             }
         }
     }
 
-    /// All figures as text.
+    /// All metrics in Prometheus' text format.
     pub fn render(&self) -> String {
         let mut text = Vec::new();
         // Encoding into memory fails only on a malformed registry.
@@ -170,7 +171,7 @@
     }
 }
 
-/// Answers `GET /metrics` with what a function gives.
+/// Serves `GET /metrics` with the text that a function returns.
 pub(super) struct MetricsService<F>(pub(super) F);
 
 impl<F, T> Service for MetricsService<F>
@@ -178,7 +179,7 @@
     F: Fn() -> T + Send + Sync + 'static,
     T: Future<Output = String> + Send,
 {
-    async fn answer(&self, head: RequestHead, _body: Vec<u8>) -> HttpResponse {
+    async fn handle(&self, head: RequestHead, _body: Vec<u8>) -> HttpResponse {
         let is_metrics = head.method == "GET" && head.path() == METRICS_PATH;
         HttpResponse {
             status: if is_metrics { 200 } else { 404 },
--- a/crates/topazmount/src/fleet/mod.rs
+++ b/crates/topazmount/src/fleet/mod.rs
@@ -1,11 +1,9 @@
-//! Processes of a fleet whose replicas register themselves: gateways that forward any HTTP request
-//! and control members that keep the catalog, the registry and the directory.
+//! Processes of a fleet whose replicas register themselves: gateways that forward HTTP requests, and
+//! control members that store the catalog, the registry and the directory.
 //!
-//! What calls look like is a [`Dialect`]'s; nothing here names a header, path or field of one.
+//! Headers, paths and body formats are defined by a [`Dialect`], not here.
 
-mod answer;
 mod caller;
-mod changes;
 mod clients;
 mod control_service;
 mod crash_watch;
@@ -15,13 +13,15 @@
 mod external_log;
 mod gateway;
 mod http_service;
-mod journal;
 mod metrics;
 mod orders;
 mod peers;
 mod pool;
 mod process;
+mod rate_limited_log;
+mod replica_changes;
 mod request_reader;
+mod response;
 mod settings;
 mod store_reader;
 mod stream;
--- a/crates/topazmount/src/fleet/orders.rs
+++ b/crates/topazmount/src/fleet/orders.rs
@@ -1,4 +1,4 @@
-//! Sends the leader's orders and questions to replicas, and tells how they ended.
+//! Sends the leader's orders and report requests to replicas and reports the outcomes to the member.
 
 use super::caller::Caller;
 use super::dialect::{Dialect, HttpRequest};
@@ -13,48 +13,48 @@
 use topazmount_control::{FleetAction, FleetRequest, OrderEnd, OrderReport, Request};
 use topazmount_types::Start;
 
-/// Longest wait for the answer to an order or a question.
-const LIMIT: Duration = Duration::from_millis(500);
-/// Largest answer.
-const MAX_ANSWER: usize = 256 * 1024;
+/// Time limit for a call to a replica and for reporting its outcome.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Largest response of a replica.
+const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// Who sends orders and questions.
+/// Sends orders and report requests.
 #[derive(Clone)]
-pub(super) struct Sender {
-    /// Hears how they ended.
+pub(super) struct OrderSender {
+    /// Receives the outcomes.
     pub(super) member: LocalMember,
-    /// Names, formats and calls.
+    /// Defines headers, paths and body formats.
     pub(super) dialect: Arc<dyn Dialect>,
-    /// Who gives the orders.
-    pub(super) holder: String,
-    /// Takes note of answers that are no reports.
-    pub(super) foreign: Arc<ExternalLog>,
+    /// Name of the process that sends the orders.
+    pub(super) leader: String,
+    /// Logs responses that are not reports of a replica.
+    pub(super) external_log: Arc<ExternalLog>,
 }
 
-/// Sends actions until the member stops.
-pub(super) async fn run(executor: Executor, actions: Receiver<FleetAction>, sender: Sender) {
+/// Executes actions until the member stops.
+pub(super) async fn run(executor: Executor, actions: Receiver<FleetAction>, sender: OrderSender) {
     while let Ok(action) = actions.recv().await {
         let sender = sender.clone();
-        let sending = async move {
-            for report in sender.act(action).await {
+        let task = async move {
+            for report in sender.execute(action).await {
                 let request = Request::Fleet(FleetRequest::OrderEnded(report));
-                let _ = sender.member.ask(request, LIMIT).await;
+                let _ = sender.member.ask(request, CALL_TIMEOUT).await;
             }
         };
-        executor.spawn(sending).detach();
+        executor.spawn(task).detach();
     }
 }
 
-impl Sender {
-    /// Returns what is to be told of it, in order.
-    async fn act(&self, action: FleetAction) -> Vec<OrderReport> {
+impl OrderSender {
+    /// Executes an action and returns the reports to the member, in order.
+    async fn execute(&self, action: FleetAction) -> Vec<OrderReport> {
         match action {
             FleetAction::Order(order) => {
-                let answer =
-                    send(&order.address, self.dialect.order_call(&order, &self.holder)).await;
-                let said = self.pushback(&answer, &order.instance, order.start);
-                let end = match &answer {
-                    Ok(answer) => self.dialect.order_outcome(answer.head.status),
+                let response =
+                    send(&order.address, self.dialect.order_call(&order, &self.leader)).await;
+                let pushback = self.pushback_report(&response, &order.instance, order.start);
+                let end = match &response {
+                    Ok(response) => self.dialect.order_outcome(response.head.status),
                     Err(_) => OrderEnd::Unknown,
                 };
                 log::info!(
@@ -67,47 +67,47 @@
                     order.expected_sequence,
                     order_end_label(end)
                 );
-                let ended = OrderReport::Order(order.instance, order.start, end);
-                said.into_iter().chain([ended]).collect()
+                let outcome = OrderReport::Order(order.instance, order.start, end);
+                pushback.into_iter().chain([outcome]).collect()
             }
             FleetAction::Question { instance, start, address } => {
-                let answer = send(&address, self.dialect.report_call()).await;
-                let said = self.pushback(&answer, &instance, start);
-                let is_good = |answer: &ClientAnswer| answer.head.status == 200;
-                let body = answer.ok().filter(is_good).map(|answer| answer.body);
+                let response = send(&address, self.dialect.report_call()).await;
+                let pushback = self.pushback_report(&response, &instance, start);
+                let is_ok = |response: &ClientAnswer| response.head.status == 200;
+                let body = response.ok().filter(is_ok).map(|response| response.body);
                 let report = body.as_ref().and_then(|body| self.dialect.parse_report(body));
                 if body.is_some() && report.is_none() {
-                    self.foreign.note("report_foreign", &instance, "unreadable");
+                    self.external_log.record("report_foreign", &instance, "unreadable");
                 }
-                let ended = OrderReport::Question(instance, report);
-                said.into_iter().chain([ended]).collect()
+                let outcome = OrderReport::Question(instance, report);
+                pushback.into_iter().chain([outcome]).collect()
             }
         }
     }
 
-    /// What an answer asks of this member.
-    fn pushback(
+    /// The pushback in a response, if there is any.
+    fn pushback_report(
         &self,
-        answer: &Result<ClientAnswer>,
+        response: &Result<ClientAnswer>,
         instance: &str,
         start: Start,
     ) -> Option<OrderReport> {
-        let said = self.dialect.response_metadata(&answer.as_ref().ok()?.head).pushback;
-        if !said.asks() {
+        let pushback = self.dialect.response_metadata(&response.as_ref().ok()?.head).pushback;
+        if !pushback.asks() {
             return None;
         }
         log::info!(
             "weights: event=pushback instance={instance} start={start} rest_ms={} leaving={}",
-            said.rest.map_or_else(|| "none".to_owned(), |rest| rest.as_millis().to_string()),
-            said.is_leaving
+            pushback.rest.map_or_else(|| "none".to_owned(), |rest| rest.as_millis().to_string()),
+            pushback.is_leaving
         );
-        Some(OrderReport::Pushback(instance.to_owned(), start, said))
+        Some(OrderReport::Pushback(instance.to_owned(), start, pushback))
     }
 }
 
-/// Each call goes out once: an order may be carried out without an answer.
-async fn send(address: &str, req: HttpRequest) -> Result<ClientAnswer> {
-    Caller::new(address)?.call(req, MAX_ANSWER, LIMIT).await
+/// Sends a call exactly once, since an order may be executed although no response arrives.
+async fn send(address: &str, request: HttpRequest) -> Result<ClientAnswer> {
+    Caller::new(address)?.call(request, MAX_RESPONSE_BYTES, CALL_TIMEOUT).await
 }
 
 /// Label of an order's end in logs.
