--- a/crates/topazmount/src/fleet/peers.rs
+++ b/crates/topazmount/src/fleet/peers.rs
@@ -1,7 +1,6 @@
-//! Datagrams between gateways: word of their work at replicas, and questions to the coordinators of
-//! shards.
+//! Datagrams between gateways: load and limit updates, and requests to shard coordinators and granters.
 
-use super::gateway::Shared;
+use super::gateway::SharedState;
 use async_channel::{Receiver, Sender};
 use async_net::UdpSocket;
 use serde::{Deserialize, Serialize};
@@ -15,54 +14,54 @@
 use topazmount_wire::{ClusterKey, decode_payload, encode_datagram, open_datagram, seal_datagram};
 
 /// Largest datagram.
-const MAX_DATAGRAM: usize = 2 * 1024;
-/// Messages that wait to be sent. Further ones are lost: the next news makes them good.
-const MOST_WAITING: usize = 256;
+const MAX_DATAGRAM_BYTES: usize = 2 * 1024;
+/// Maximum number of queued messages. Further ones are dropped; later updates make up for that.
+const MAX_PENDING: usize = 256;
 
-/// What a gateway tells another one.
+/// A message from one gateway to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum GatewayMessage {
-    /// Its work at a replica.
+    /// The sender's load at a replica.
     #[serde(rename = "Load")]
     LoadUpdate(LoadNews),
-    /// A question to a coordinator, by its number.
+    /// Asks a coordinator for a replica; the number identifies the request.
     #[serde(rename = "Question")]
     ChoiceRequest(u64, ChoiceQuestion),
-    /// The answer to the question of that number; none where no replica may be asked.
+    /// Response to the choice request with this number; `None` if no replica is available.
     #[serde(rename = "Answer")]
     ChoiceResponse(u64, Option<Offer>),
-    /// Asks for units of a stripe of a tenant's limit, by the number of the question.
+    /// Asks for units of a stripe of a tenant's limit.
     #[serde(rename = "Grant")]
     GrantRequest(u64, StripeId, u32),
-    /// The answer to that.
+    /// Response to a grant request or a send grant request.
     #[serde(rename = "Granted")]
     GrantResponse(u64, GrantAnswer),
-    /// Units that were granted for a request that has not run.
+    /// Returns units granted for a request that has not run.
     #[serde(rename = "GiveBack")]
     UnitsReturned(StripeId, u32),
-    /// What it was told of a replica's limit.
+    /// A replica's limit as known to the sender.
     #[serde(rename = "Limit")]
     LimitUpdate(LimitNews),
-    /// Asks for one request to a replica that names a limit, by the number of the question; answered by `Granted`.
+    /// Asks for permission to send one request to a replica with a limit.
     #[serde(rename = "GrantSend")]
     SendGrantRequest(u64, LimitNews),
 }
 
-/// An answer to a question.
-enum Answer {
+/// Response to a pending request.
+enum Response {
     Choice(Option<Offer>),
     Grant(GrantAnswer),
 }
 
-/// Ways to the other gateways.
+/// Socket for messages to and from other gateways, with the requests that wait for responses.
 pub(super) struct Peers {
     socket: UdpSocket,
     key: ClusterKey,
-    own: SocketAddr,
+    own_address: SocketAddr,
     node: u64,
-    next_question: AtomicU64,
-    questions: Mutex<HashMap<u64, Sender<Answer>>>,
-    waiting: (Sender<Outgoing>, Receiver<Outgoing>),
+    next_request_id: AtomicU64,
+    pending: Mutex<HashMap<u64, Sender<Response>>>,
+    outgoing: (Sender<Outgoing>, Receiver<Outgoing>),
 }
 
 struct Outgoing {
@@ -70,147 +69,158 @@
     message: GatewayMessage,
 }
 
-/// A question under way; forgotten when it is dropped.
-struct Asked<'a> {
+/// Removes a request from the pending ones when it is dropped.
+struct PendingRequest<'a> {
     peers: &'a Peers,
-    number: u64,
+    request_id: u64,
 }
 
-impl Drop for Asked<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        self.peers.questions.lock().unwrap().remove(&self.number);
+        self.peers.pending.lock().unwrap().remove(&self.request_id);
     }
 }
 
 impl Peers {
-    /// Binds the socket at the machine's address for clients and the internal port.
+    /// Binds the socket at the address for clients and the internal port.
     pub(super) async fn bind(
         clients: SocketAddr,
         port: u16,
         key: ClusterKey,
     ) -> std::io::Result<Self> {
-        let own = SocketAddr::new(clients.ip(), port);
-        let socket = UdpSocket::bind(own).await?;
+        let own_address = SocketAddr::new(clients.ip(), port);
+        let socket = UdpSocket::bind(own_address).await?;
         let node = Digest::of(clients.to_string().as_bytes()).prefix();
         Ok(Peers {
             socket,
             key,
-            own,
+            own_address,
             node,
-            // Answers to questions of an earlier life must match none of this one.
-            next_question: AtomicU64::new(rand::random()),
-            questions: Mutex::default(),
-            waiting: async_channel::bounded(MOST_WAITING),
+            // A random start, so that responses to an earlier process match no request of this one.
+            next_request_id: AtomicU64::new(rand::random()),
+            pending: Mutex::default(),
+            outgoing: async_channel::bounded(MAX_PENDING),
         })
     }
 
-    /// Where this gateway takes datagrams.
+    /// Address at which this gateway receives datagrams.
     pub(super) fn own_address(&self) -> SocketAddr {
-        self.own
+        self.own_address
     }
 
-    /// Tells others what there is to tell, without waiting. What can't be sent is lost: the next news
-    /// makes it good.
-    pub(super) fn tell(&self, news: Option<(Vec<SocketAddr>, LoadNews)>) {
-        let Some((to, news)) = news else { return };
-        self.send(to, GatewayMessage::LoadUpdate(LoadNews { node: self.node, ..news }));
+    /// Queues a load update, if there is one. It is dropped if the queue is full.
+    pub(super) fn send_load_update(&self, update: Option<(Vec<SocketAddr>, LoadNews)>) {
+        let Some((to, update)) = update else { return };
+        self.send(to, GatewayMessage::LoadUpdate(LoadNews { node: self.node, ..update }));
     }
 
     fn send(&self, to: Vec<SocketAddr>, message: GatewayMessage) {
         if !to.is_empty() {
-            let _ = self.waiting.0.try_send(Outgoing { to, message });
+            let _ = self.outgoing.0.try_send(Outgoing { to, message });
         }
     }
 
-    /// Asks a coordinator, and waits for its answer for so long; `None` where none comes.
-    pub(super) async fn ask(
+    /// Asks a coordinator for a replica; `None` if it does not respond in time.
+    pub(super) async fn request_choice(
         &self,
         coordinator: SocketAddr,
-        question: ChoiceQuestion,
-        limit: Duration,
+        request: ChoiceQuestion,
+        timeout: Duration,
     ) -> Option<Option<Offer>> {
         match self
-            .question(coordinator, |number| GatewayMessage::ChoiceRequest(number, question), limit)
+            .request(
+                coordinator,
+                |request_id| GatewayMessage::ChoiceRequest(request_id, request),
+                timeout,
+            )
             .await
         {
-            Some(Answer::Choice(offer)) => Some(offer),
+            Some(Response::Choice(offer)) => Some(offer),
             _ => None,
         }
     }
 
-    /// Asks another gateway to grant, and waits for its answer for so long; `None` where none comes.
-    pub(super) async fn ask_grant(
+    /// Asks another gateway for units of a tenant's limit; `None` if it does not respond in time.
+    pub(super) async fn request_grant(
         &self,
         granter: SocketAddr,
         stripe: StripeId,
         amount: u32,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<GrantAnswer> {
         match self
-            .question(granter, |number| GatewayMessage::GrantRequest(number, stripe, amount), limit)
+            .request(
+                granter,
+                |request_id| GatewayMessage::GrantRequest(request_id, stripe, amount),
+                timeout,
+            )
             .await
         {
-            Some(Answer::Grant(answer)) => Some(answer),
+            Some(Response::Grant(response)) => Some(response),
             _ => None,
         }
     }
 
-    /// Asks another gateway to grant one request to a replica that names a limit, and waits for its answer for so long;
-    /// `None` where none comes.
-    pub(super) async fn ask_send_grant(
+    /// Asks another gateway for permission to send one request to a replica with a limit; `None` if it
+    /// does not respond in time.
+    pub(super) async fn request_send_grant(
         &self,
         granter: SocketAddr,
-        asked: LimitNews,
-        limit: Duration,
+        update: LimitNews,
+        timeout: Duration,
     ) -> Option<GrantAnswer> {
         match self
-            .question(granter, |number| GatewayMessage::SendGrantRequest(number, asked), limit)
+            .request(
+                granter,
+                |request_id| GatewayMessage::SendGrantRequest(request_id, update),
+                timeout,
+            )
             .await
         {
-            Some(Answer::Grant(answer)) => Some(answer),
+            Some(Response::Grant(response)) => Some(response),
             _ => None,
         }
     }
 
-    /// Tells others of a replica's limit, without waiting.
-    pub(super) fn tell_limit(&self, to: Vec<SocketAddr>, news: LimitNews) {
-        self.send(to, GatewayMessage::LimitUpdate(news));
+    /// Queues an update of a replica's limit.
+    pub(super) fn send_limit_update(&self, to: Vec<SocketAddr>, update: LimitNews) {
+        self.send(to, GatewayMessage::LimitUpdate(update));
     }
 
-    /// Tells a granter of units that were not used.
-    pub(super) fn give_back(&self, granter: SocketAddr, stripe: StripeId, amount: u32) {
+    /// Returns unused units to their granter.
+    pub(super) fn return_units(&self, granter: SocketAddr, stripe: StripeId, amount: u32) {
         self.send(vec![granter], GatewayMessage::UnitsReturned(stripe, amount));
     }
 
-    async fn question(
+    async fn request(
         &self,
         to: SocketAddr,
         message: impl FnOnce(u64) -> GatewayMessage,
-        limit: Duration,
-    ) -> Option<Answer> {
-        let number = self.next_question.fetch_add(1, Ordering::Relaxed);
-        let (answered, answer) = async_channel::bounded(1);
-        self.questions.lock().unwrap().insert(number, answered);
-        let _asked = Asked { peers: self, number };
-        self.send(vec![to], message(number));
-        super::http_service::within(limit, answer.recv()).await?.ok()
+        timeout: Duration,
+    ) -> Option<Response> {
+        let request_id = self.next_request_id.fetch_add(1, Ordering::Relaxed);
+        let (sender, receiver) = async_channel::bounded(1);
+        self.pending.lock().unwrap().insert(request_id, sender);
+        let _pending = PendingRequest { peers: self, request_id };
+        self.send(vec![to], message(request_id));
+        super::http_service::with_timeout(timeout, receiver.recv()).await?.ok()
     }
 
-    fn answered(&self, number: u64, answer: Answer) {
-        let asked = self.questions.lock().unwrap().remove(&number);
-        if let Some(asked) = asked {
-            // Only the first answer counts.
-            let _ = asked.try_send(answer);
+    fn complete(&self, request_id: u64, response: Response) {
+        let waiter = self.pending.lock().unwrap().remove(&request_id);
+        if let Some(waiter) = waiter {
+            // Only the first response is used.
+            let _ = waiter.try_send(response);
         }
     }
 }
 
-/// Sends what waits, for ever.
-pub(super) async fn send_waiting(peers: Arc<Peers>) {
-    while let Ok(Outgoing { to, message }) = peers.waiting.1.recv().await {
+/// Sends queued messages forever.
+pub(super) async fn run_sender(peers: Arc<Peers>) {
+    while let Ok(Outgoing { to, message }) = peers.outgoing.1.recv().await {
         let Ok(payload) = encode_datagram(&message) else { continue };
         let datagram = seal_datagram(&peers.key, &payload);
-        if datagram.len() > MAX_DATAGRAM {
+        if datagram.len() > MAX_DATAGRAM_BYTES {
             continue;
         }
         for address in to {
@@ -219,9 +229,9 @@
     }
 }
 
-/// Takes the others' messages for ever.
-pub(super) async fn listen(peers: Arc<Peers>, shared: Arc<Shared>) {
-    let mut buffer = vec![0u8; MAX_DATAGRAM];
+/// Receives and handles other gateways' messages forever.
+pub(super) async fn run_receiver(peers: Arc<Peers>, shared: Arc<SharedState>) {
+    let mut buffer = vec![0u8; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, sender)) = peers.socket.recv_from(&mut buffer).await else { continue };
         let payload = open_datagram(&peers.key, &buffer[..length]);
@@ -229,54 +239,54 @@
             payload.ok().and_then(|payload| decode_payload::<GatewayMessage>(payload).ok());
         let now = shared.clock.now();
         match message {
-            Some(GatewayMessage::LoadUpdate(news)) => {
-                shared.knowledge.lock().unwrap().balancer().apply_news(&news, now);
+            Some(GatewayMessage::LoadUpdate(update)) => {
+                shared.knowledge.lock().unwrap().balancer().apply_news(&update, now);
             }
-            Some(GatewayMessage::ChoiceRequest(number, question)) => {
-                shared.metrics.event("question_answered");
-                let offer = shared.knowledge.lock().unwrap().answer(&question, now);
-                peers.send(vec![sender], GatewayMessage::ChoiceResponse(number, offer));
+            Some(GatewayMessage::ChoiceRequest(request_id, request)) => {
+                shared.metrics.count_event("question_answered");
+                let offer = shared.knowledge.lock().unwrap().answer(&request, now);
+                peers.send(vec![sender], GatewayMessage::ChoiceResponse(request_id, offer));
             }
-            Some(GatewayMessage::ChoiceResponse(number, offer)) => {
-                peers.answered(number, Answer::Choice(offer))
+            Some(GatewayMessage::ChoiceResponse(request_id, offer)) => {
+                peers.complete(request_id, Response::Choice(offer))
             }
-            Some(GatewayMessage::GrantRequest(number, stripe, amount)) => {
-                let answer = shared.knowledge.lock().unwrap().grant(stripe, amount, now);
-                shared.metrics.event(grant_event(answer));
-                peers.send(vec![sender], GatewayMessage::GrantResponse(number, answer));
+            Some(GatewayMessage::GrantRequest(request_id, stripe, amount)) => {
+                let response = shared.knowledge.lock().unwrap().grant(stripe, amount, now);
+                shared.metrics.count_event(grant_event(response));
+                peers.send(vec![sender], GatewayMessage::GrantResponse(request_id, response));
             }
-            Some(GatewayMessage::GrantResponse(number, answer)) => {
-                peers.answered(number, Answer::Grant(answer));
+            Some(GatewayMessage::GrantResponse(request_id, response)) => {
+                peers.complete(request_id, Response::Grant(response));
             }
             Some(GatewayMessage::UnitsReturned(stripe, amount)) => {
                 shared.knowledge.lock().unwrap().give_back(stripe, amount, now);
             }
-            Some(GatewayMessage::LimitUpdate(news)) => {
-                let to = shared.knowledge.lock().unwrap().told_limit(&news, now);
-                peers.tell_limit(to, news);
+            Some(GatewayMessage::LimitUpdate(update)) => {
+                let to = shared.knowledge.lock().unwrap().told_limit(&update, now);
+                peers.send_limit_update(to, update);
             }
-            Some(GatewayMessage::SendGrantRequest(number, asked)) => {
-                let answer = shared.knowledge.lock().unwrap().grant_send(&asked, now);
-                shared.metrics.event(send_grant_event(answer));
-                peers.send(vec![sender], GatewayMessage::GrantResponse(number, answer));
+            Some(GatewayMessage::SendGrantRequest(request_id, update)) => {
+                let response = shared.knowledge.lock().unwrap().grant_send(&update, now);
+                shared.metrics.count_event(send_grant_event(response));
+                peers.send(vec![sender], GatewayMessage::GrantResponse(request_id, response));
             }
-            None => shared.metrics.event("bad_datagram"),
+            None => shared.metrics.count_event("bad_datagram"),
         }
     }
 }
 
-/// Name of a granter's answer in metrics.
-fn grant_event(answer: GrantAnswer) -> &'static str {
-    match answer {
+/// Event in metrics for a granter's response about a tenant's limit.
+fn grant_event(response: GrantAnswer) -> &'static str {
+    match response {
         GrantAnswer::Granted => "grant_given",
         GrantAnswer::Over(_) => "grant_refused",
         GrantAnswer::NotHolder => "grant_not_held",
     }
 }
 
-/// The same for requests to replicas that name a limit.
-pub(super) fn send_grant_event(answer: GrantAnswer) -> &'static str {
-    match answer {
+/// Event in metrics for a granter's response about a replica's limit.
+pub(super) fn send_grant_event(response: GrantAnswer) -> &'static str {
+    match response {
         GrantAnswer::Granted => "send_granted",
         GrantAnswer::Over(_) => "send_refused",
         GrantAnswer::NotHolder => "send_not_held",
--- a/crates/topazmount/src/fleet/pool.rs
+++ b/crates/topazmount/src/fleet/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to replicas that rest between two requests.
+//! Pool of idle connections to replicas.
 
 use crate::http1::{Framing, ResponseHead, Wire};
 use std::collections::HashMap;
@@ -7,36 +7,37 @@
 use topazmount_gateway::{AnswerEnd, IdleConnection};
 use topazmount_types::Time;
 
-/// Least time between two looks through all connections for those that have rested too long.
+/// Minimum time between two sweeps that close connections which were idle too long.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A connection and how it came to rest.
-struct Resting {
+/// An idle connection.
+struct PooledConnection {
     wire: Wire,
-    since: Time,
+    idle_since: Time,
+    /// Idle timeout that the replica announced.
     announced: Option<Duration>,
 }
 
-/// What an answer said of its connection.
+/// What a response head says about reuse of its connection.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ConnectionEnd {
+pub(super) struct KeepAliveHint {
     is_framed: bool,
     closes: bool,
     announced: Option<Duration>,
 }
 
-impl ConnectionEnd {
-    /// Reads an answer's head.
-    pub(super) fn of(head: &ResponseHead, framing: Framing) -> Self {
-        ConnectionEnd {
+impl KeepAliveHint {
+    /// Reads a response head.
+    pub(super) fn from_head(head: &ResponseHead, framing: Framing) -> Self {
+        KeepAliveHint {
             is_framed: framing != Framing::UntilClose,
             closes: head.closes(),
             announced: head.idle_time(),
         }
     }
 
-    /// What is left of the connection once the body was read.
-    pub(super) fn answer_end(&self, wire: &Wire, is_request_sent: bool) -> AnswerEnd {
+    /// State of the connection after the body was read.
+    pub(super) fn response_end(&self, wire: &Wire, is_request_sent: bool) -> AnswerEnd {
         AnswerEnd {
             is_request_sent,
             is_framed: self.is_framed,
@@ -46,48 +47,48 @@
     }
 }
 
-/// What may rest.
+/// Limits of the pool.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct RestBounds {
-    /// Connections to one replica; of more the oldest are closed.
-    pub(super) most: usize,
-    /// Time after which one is closed.
-    pub(super) longest: Duration,
+pub(super) struct PoolLimits {
+    /// Maximum number of idle connections to a replica; the oldest ones beyond it are closed.
+    pub(super) max_connections: usize,
+    /// Maximum idle time of a connection.
+    pub(super) max_idle: Duration,
 }
 
-/// All connections at rest of one gateway.
+/// All idle connections of a gateway.
 #[derive(Default)]
 pub(super) struct Pool {
-    resting: Mutex<Places>,
+    state: Mutex<PoolState>,
 }
 
 #[derive(Default)]
-struct Places {
-    /// By the names of incarnations: one to an earlier incarnation carries nothing that is meant for the next.
-    by_replica: HashMap<String, Vec<Resting>>,
+struct PoolState {
+    /// Connections by incarnation name, so that none to an earlier incarnation is used for the next.
+    by_replica: HashMap<String, Vec<PooledConnection>>,
     swept_at: Time,
 }
 
 impl Pool {
-    /// Puts a connection to rest, and closes what is beyond the bounds.
+    /// Adds a connection and closes the ones beyond the limits.
     pub(super) fn put(
         &self,
         incarnation: &str,
         wire: Wire,
-        end: ConnectionEnd,
-        bounds: RestBounds,
+        keep_alive: KeepAliveHint,
+        limits: PoolLimits,
         now: Time,
     ) {
-        let mut places = self.resting.lock().unwrap();
-        places.sweep(bounds.longest, now);
-        let resting = places.by_replica.entry(incarnation.to_owned()).or_default();
-        resting.push(Resting { wire, since: now, announced: end.announced });
-        let surplus = resting.len().saturating_sub(bounds.most);
-        resting.drain(..surplus);
+        let mut state = self.state.lock().unwrap();
+        state.sweep(limits.max_idle, now);
+        let idle = state.by_replica.entry(incarnation.to_owned()).or_default();
+        idle.push(PooledConnection { wire, idle_since: now, announced: keep_alive.announced });
+        let surplus = idle.len().saturating_sub(limits.max_connections);
+        idle.drain(..surplus);
     }
 
-    /// Takes the connection to a replica that was used last and may be used, with its idle time.
-    /// One on which anything came meanwhile, or that was closed, is dropped.
+    /// Takes the most recently used connection to a replica, with its idle time, if it may be used.
+    /// Connections that were closed or on which data arrived while idle are dropped.
     pub(super) async fn take(
         &self,
         incarnation: &str,
@@ -95,45 +96,47 @@
         may_use: impl Fn(IdleConnection) -> bool,
     ) -> Option<(Wire, Duration)> {
         loop {
-            let Resting { mut wire, since, .. } = {
-                let mut places = self.resting.lock().unwrap();
-                let resting = places.by_replica.get_mut(incarnation)?;
-                let last = resting.last()?;
+            let PooledConnection { mut wire, idle_since, .. } = {
+                let mut state = self.state.lock().unwrap();
+                let idle = state.by_replica.get_mut(incarnation)?;
+                let last = idle.last()?;
                 let connection =
-                    IdleConnection { idle: now.since(last.since), announced: last.announced };
+                    IdleConnection { idle: now.since(last.idle_since), announced: last.announced };
                 if !may_use(connection) {
                     return None;
                 }
-                resting.pop()?
+                idle.pop()?
             };
-            // Where nothing has come, reading waits.
+            // The read is pending if the connection is open and no data has arrived.
             if futures_lite::future::poll_once(wire.fill()).await.is_none() {
-                return Some((wire, now.since(since)));
+                return Some((wire, now.since(idle_since)));
             }
         }
     }
 
-    /// Closes the connections to an incarnation that has ended.
+    /// Closes the idle connections to an incarnation.
     pub(super) fn close(&self, incarnation: &str) {
-        self.resting.lock().unwrap().by_replica.remove(incarnation);
+        self.state.lock().unwrap().by_replica.remove(incarnation);
     }
 
-    /// Number of connections at rest.
+    /// Number of idle connections.
     pub(super) fn count(&self) -> usize {
-        self.resting.lock().unwrap().by_replica.values().map(Vec::len).sum()
+        self.state.lock().unwrap().by_replica.values().map(Vec::len).sum()
     }
 }
 
-impl Places {
-    fn sweep(&mut self, longest: Duration, now: Time) {
+impl PoolState {
+    fn sweep(&mut self, max_idle: Duration, now: Time) {
         if now < self.swept_at + SWEEP_INTERVAL {
             return;
         }
         self.swept_at = now;
-        for resting in self.by_replica.values_mut() {
-            resting
-                .retain(|one| now.since(one.since) < one.announced.unwrap_or(longest).min(longest));
+        for idle in self.by_replica.values_mut() {
+            idle.retain(|connection| {
+                now.since(connection.idle_since)
+                    < connection.announced.unwrap_or(max_idle).min(max_idle)
+            });
         }
-        self.by_replica.retain(|_, resting| !resting.is_empty());
+        self.by_replica.retain(|_, idle| !idle.is_empty());
     }
 }
--- a/crates/topazmount/src/fleet/process.rs
+++ b/crates/topazmount/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! A fleet's processes from start to planned stop.
+//! Runs the processes of a fleet from start to graceful stop.
 
 use super::control_service::{ControlPlane, ControlPlaneOptions};
 use super::dialect::Dialect;
@@ -11,10 +11,10 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Runs a gateway until its planned stop.
+/// Runs a gateway until it is asked to stop.
 ///
 /// # Errors
-/// When it can't start.
+/// If the settings are invalid or the gateway can't start.
 pub async fn run_gateway(executor: Executor, file: &Path, dialect: Arc<dyn Dialect>) -> Result<u8> {
     let mut watch = SettingsWatch::new(file)?;
     let settings = FleetSettings::read(file)?;
@@ -28,10 +28,10 @@
     Ok(0)
 }
 
-/// Runs a control member until its planned stop, or until its disk fails.
+/// Runs a control member until it is asked to stop or its disk fails.
 ///
 /// # Errors
-/// When it can't start.
+/// If the settings are invalid or the member can't start.
 pub async fn run_control(executor: Executor, file: &Path, dialect: Arc<dyn Dialect>) -> Result<u8> {
     let mut watch = SettingsWatch::new(file)?;
     let settings = FleetSettings::read(file)?;
@@ -46,7 +46,7 @@
         Ok::<u8, eyre::Report>(0)
     };
     let failed = async {
-        control.failed().await;
+        control.wait_for_failure().await;
         Ok(runtime::FAILED)
     };
     let status = stopped.or(failed).await?;
--- a/crates/topazmount/src/fleet/changes.rs
+++ b/crates/topazmount/src/fleet/replica_changes.rs
@@ -1,24 +1,24 @@
-//! What follows when beliefs on a replica are taken back: connections closed, and a line in the log.
+//! Reacts to changes of what is known about a replica.
 
-use super::gateway::Shared;
+use super::gateway::SharedState;
 use topazmount_gateway::Change;
 
-impl Shared {
-    /// Closes what an ended incarnation left, and tells whoever reads the log of a change; `source` says where word of it
-    /// came from.
-    pub(super) fn note_change(&self, change: &Change, source: &str) {
+impl SharedState {
+    /// Logs a change and closes the pooled connections to an ended incarnation. `source` names where the
+    /// change was reported.
+    pub(super) fn handle_change(&self, change: &Change, source: &str) {
         match change {
             Change::Replaced { earlier, start } => {
                 self.pool.close(&earlier.incarnation_name());
-                self.metrics.event("incarnation_replaced");
-                self.journal.line(|| {
+                self.metrics.count_event("incarnation_replaced");
+                self.event_log.info(|| {
                     let (id, was) = (&earlier.id, earlier.start);
                     format!("gateway: event=incarnation_replaced id={id} was={was} is={start}")
                 });
             }
             Change::WentBack { id, start, model, before, said } => {
-                self.metrics.event("version_went_back");
-                self.journal.line(|| {
+                self.metrics.count_event("version_went_back");
+                self.event_log.info(|| {
                     format!(
                         "gateway: event=version_went_back id={id} start={start} model={model} before={before} \
                          said={} source={source}",
--- a/crates/topazmount/src/fleet/settings.rs
+++ b/crates/topazmount/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a process of a fleet, in TOML.
+//! Settings of a fleet's processes, in TOML.
 
 use eyre::{Result, WrapErr, eyre};
 use serde::Deserialize;
@@ -15,40 +15,40 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSettings {
-    /// Name, unique in the fleet.
+    /// Name of the process, unique in the fleet.
     pub name: String,
-    /// Zone.
+    /// Zone that the process runs in.
     pub zone: String,
-    /// Region.
+    /// Region of the zone.
     pub region: String,
     /// Secret that all processes of the fleet share.
     pub cluster_key: String,
-    /// Internal port of control members, the same on all machines.
+    /// Port for messages between the fleet's processes, the same on all machines.
     pub peer_port: u16,
-    /// Addresses of some control members; only the machine counts.
+    /// Addresses of some control members; only their IP addresses are used.
     pub seeds: Vec<SocketAddr>,
     /// Whether the fleet starts for the first time, with empty disks.
     #[serde(default)]
     pub form_group: bool,
-    /// Folder of a control member.
+    /// Data folder of a control member.
     pub data_folder: Option<PathBuf>,
-    /// Where the process listens.
+    /// Addresses at which the process listens.
     pub listen: ListenAddresses,
-    /// Bounds that it keeps.
+    /// Time limits, retry budget and quotas.
     pub bounds: Bounds,
-    /// Kept connections to replicas.
+    /// Pooled connections to replicas.
     #[serde(default)]
     pub connections: ConnectionPoolSettings,
-    /// What a gateway believes of caches.
+    /// Assumptions about replicas' caches.
     #[serde(default)]
     pub caches: CacheSettings,
-    /// How long a process believes what replicas and stores ask of it.
+    /// Upper bounds on pushback from replicas and stores.
     #[serde(default)]
     pub pushback: PushbackLimits,
-    /// How a roll-out of weights spares those who serve.
+    /// Limits on roll-outs of weights.
     #[serde(default)]
     pub rollout: RolloutLimits,
-    /// Policy programs that decide on a gateway, or are shadowed there.
+    /// Policy programs of a gateway.
     #[serde(default, rename = "policy")]
     pub policies: Vec<FleetPolicy>,
 }
@@ -57,63 +57,63 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetPolicy {
-    /// Name in reports.
+    /// Name in reports and metrics.
     pub name: String,
     /// File of the program.
     pub file: PathBuf,
-    /// Part of the prompts that it decides, 0 to 1.
+    /// Share of the prompts that it decides, 0 to 1.
     #[serde(default)]
     pub share: f64,
-    /// Whether it is compared with whatever decides.
+    /// Whether its decisions are computed and compared with the active ones.
     #[serde(default)]
     pub shadow: bool,
 }
 
-/// Addresses; each is served by the kind of process that has a use for it.
+/// Addresses at which a process listens; each kind of process uses some of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenAddresses {
-    /// Clients of a gateway.
+    /// Requests of clients to a gateway.
     pub clients: Option<SocketAddr>,
-    /// Readiness of a gateway.
+    /// Readiness checks of a gateway.
     pub ready: Option<SocketAddr>,
-    /// Operators and replicas.
+    /// Calls of operators and replicas to a control member.
     pub control: Option<SocketAddr>,
-    /// Clients that ask for gateways.
+    /// Directory of gateways for clients.
     pub directory: Option<SocketAddr>,
-    /// Metrics.
+    /// Metrics of any process.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Kept connections of a gateway to replicas.
+/// Pooled connections of a gateway to replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ConnectionPoolSettings {
-    /// Whether any are kept.
+    /// Whether connections are pooled.
     pub keep: bool,
-    /// Longest idle time before a request that must run at most once, in milliseconds.
+    /// Maximum idle time before a request that must run at most once, in milliseconds.
     pub once_idle_ms: u64,
-    /// Longest idle time before a request that may be repeated, in milliseconds.
+    /// Maximum idle time before a request that may be repeated, in milliseconds.
     pub most_idle_ms: u64,
 }
 
 impl Default for ConnectionPoolSettings {
     fn default() -> Self {
-        let cfg = ConnectionSettings::default();
+        let defaults = ConnectionSettings::default();
         ConnectionPoolSettings {
-            keep: cfg.is_on,
-            once_idle_ms: cfg.once_idle.as_millis() as u64,
-            most_idle_ms: cfg.most_idle.as_millis() as u64,
+            keep: defaults.is_on,
+            once_idle_ms: defaults.once_idle.as_millis() as u64,
+            most_idle_ms: defaults.most_idle.as_millis() as u64,
         }
     }
 }
 
-/// What a gateway believes of replicas' caches.
+/// Assumptions of a gateway about replicas' caches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CacheSettings {
-    /// Age up to which a replica almost surely holds what it was seen to read or use, in
-    /// milliseconds; what is older is rather taken from a store.
+    /// Time after its last use for which a prompt part is assumed to be in a replica's cache, in
+    /// milliseconds. Older parts are preferably fetched from a store.
     pub surely_kept_ms: u64,
 }
 
@@ -124,135 +124,144 @@
     }
 }
 
-/// How long a process believes what replicas and stores ask of it, in seconds.
+/// Upper bounds on pushback from replicas and stores, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PushbackLimits {
-    /// Longest rest.
+    /// Longest backoff.
     pub longest_rest_s: f64,
-    /// Longest time for which a replica that said that it leaves is left alone, since it last said so.
+    /// Time after which a replica's last report that it is leaving expires.
     pub longest_leave_s: f64,
 }
 
 impl Default for PushbackLimits {
     fn default() -> Self {
-        let cfg = PushbackSettings::default();
+        let defaults = PushbackSettings::default();
         PushbackLimits {
-            longest_rest_s: cfg.longest_rest.as_secs_f64(),
-            longest_leave_s: cfg.longest_leave.as_secs_f64(),
+            longest_rest_s: defaults.longest_rest.as_secs_f64(),
+            longest_leave_s: defaults.longest_leave.as_secs_f64(),
         }
     }
 }
 
-/// How a roll-out of weights spares replicas that serve.
+/// Limits on roll-outs of weights.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RolloutLimits {
-    /// Time that a load is taken to need until one was seen to end, in milliseconds.
+    /// Assumed duration of a load until one has completed, in milliseconds.
     pub first_load_ms: u64,
-    /// Share of a service's replicas that load at a time where that is enough.
+    /// Share of a service's replicas that load at a time, unless more are needed to finish in time.
     pub usually_loading: f64,
-    /// Share of a service's replicas that go on serving while others load.
+    /// Share of a service's replicas that keep serving while others load.
     pub least_serving: f64,
 }
 
 impl Default for RolloutLimits {
     fn default() -> Self {
-        let cfg = RolloutSettings::default();
+        let defaults = RolloutSettings::default();
         RolloutLimits {
-            first_load_ms: cfg.first_load.as_millis() as u64,
-            usually_loading: cfg.usually_loading,
-            least_serving: cfg.least_serving,
+            first_load_ms: defaults.first_load.as_millis() as u64,
+            usually_loading: defaults.usually_loading,
+            least_serving: defaults.least_serving,
         }
     }
 }
 
-/// Bounds, as the operator sets them.
+/// Time limits, retry budget and quotas.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Time of a planned stop, in seconds.
+    /// Time limit of a graceful stop, in seconds.
     pub stop_s: f64,
-    /// Time after which a removed key must be refused, in milliseconds; 0 for no bound.
+    /// Time after which a removed API key must be refused, in milliseconds; 0 for no limit.
     pub revocation_ms: u64,
-    /// Time between the orders of two holders, in milliseconds.
+    /// Minimum time between the orders of two leaders, in milliseconds.
     pub lease_ms: u64,
-    /// Time within which a named version of weights must be everywhere, in milliseconds.
+    /// Time within which all replicas must have a published version of weights, in milliseconds.
     pub spread_ms: u64,
-    /// Repeats per request.
+    /// Retries per request.
     pub retry_ratio: f64,
-    /// Repeats beyond that.
+    /// Retries allowed in addition.
     pub retry_slack: f64,
     /// Window of the retry budget, in seconds.
     pub retry_window_s: f64,
-    /// Window over which tenants' use is counted, in seconds.
+    /// Window over which tenants' usage is counted, in seconds.
     #[serde(default = "quota_window_s")]
     pub quota_window_s: f64,
     /// Share by which tenants may exceed their limits in a window.
     #[serde(default)]
     pub quota_overrun: f64,
-    /// Units beyond that, over all gateways.
+    /// Units allowed in addition, over all gateways.
     #[serde(default)]
     pub quota_slack: f64,
 }
 
-/// Longest window over which use is counted, in seconds: an hour.
-const LONGEST_QUOTA_WINDOW_S: f64 = 3_600.0;
+/// Longest quota window, in seconds.
+const MAX_QUOTA_WINDOW_S: f64 = 3_600.0;
 
-/// Longest time that a load may be taken to need at first, in milliseconds: an hour.
-const LONGEST_FIRST_LOAD_MS: u64 = 3_600_000;
+/// Longest assumed duration of a load, in milliseconds.
+const MAX_FIRST_LOAD_MS: u64 = 3_600_000;
 
-/// Longest time for which a replica's word may be believed, in seconds: a day.
-const LONGEST_PUSHBACK_S: f64 = 86_400.0;
+/// Upper bound of both pushback limits, in seconds.
+const MAX_PUSHBACK_S: f64 = 86_400.0;
 
 fn quota_window_s() -> f64 {
     QuotaSettings::default().window.as_secs_f64()
 }
 
 impl FleetSettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// What is wrong, with file and key.
+    /// If the file can't be read or a setting is invalid; names the file and the key.
     pub fn read(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path)
             .wrap_err_with(|| format!("reading {}", path.display()))?;
         Self::parse(&text).wrap_err_with(|| format!("in {}", path.display()))
     }
 
-    /// Checks the text of a settings file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// What is wrong, with the key.
+    /// If a setting is invalid; names the key.
     pub fn parse(text: &str) -> Result<Self> {
         let settings: FleetSettings = toml::from_str(text)?;
         let bounds = &settings.bounds;
         eyre::ensure!(!settings.name.is_empty(), "name: must not be empty");
         eyre::ensure!(!settings.cluster_key.is_empty(), "cluster_key: must not be empty");
-        eyre::ensure!(!settings.seeds.is_empty(), "seeds: name at least one control member");
-        let is_number = |value: f64| value.is_finite() && value >= 0.0;
-        eyre::ensure!(is_number(bounds.stop_s), "bounds.stop_s: must be 0 or more");
-        eyre::ensure!(is_number(bounds.retry_ratio), "bounds.retry_ratio: must be 0 or more");
-        eyre::ensure!(is_number(bounds.retry_slack), "bounds.retry_slack: must be 0 or more");
-        eyre::ensure!(is_number(bounds.retry_window_s), "bounds.retry_window_s: must be 0 or more");
+        eyre::ensure!(!settings.seeds.is_empty(), "seeds: must list at least one control member");
+        let is_non_negative = |value: f64| value.is_finite() && value >= 0.0;
+        eyre::ensure!(is_non_negative(bounds.stop_s), "bounds.stop_s: must be 0 or more");
+        eyre::ensure!(is_non_negative(bounds.retry_ratio), "bounds.retry_ratio: must be 0 or more");
+        eyre::ensure!(is_non_negative(bounds.retry_slack), "bounds.retry_slack: must be 0 or more");
+        eyre::ensure!(
+            is_non_negative(bounds.retry_window_s),
+            "bounds.retry_window_s: must be 0 or more"
+        );
         let window = bounds.quota_window_s;
-        let is_window = window > 0.0 && window <= LONGEST_QUOTA_WINDOW_S;
-        eyre::ensure!(is_window, "bounds.quota_window_s: must be more than 0 and at most 3600");
-        eyre::ensure!(is_number(bounds.quota_overrun), "bounds.quota_overrun: must be 0 or more");
-        eyre::ensure!(is_number(bounds.quota_slack), "bounds.quota_slack: must be 0 or more");
+        let is_valid_window = window > 0.0 && window <= MAX_QUOTA_WINDOW_S;
+        eyre::ensure!(
+            is_valid_window,
+            "bounds.quota_window_s: must be more than 0 and at most 3600"
+        );
+        eyre::ensure!(
+            is_non_negative(bounds.quota_overrun),
+            "bounds.quota_overrun: must be 0 or more"
+        );
+        eyre::ensure!(is_non_negative(bounds.quota_slack), "bounds.quota_slack: must be 0 or more");
         let pushback = &settings.pushback;
-        let is_time = |seconds: f64| (0.0..=LONGEST_PUSHBACK_S).contains(&seconds);
+        let is_valid = |seconds: f64| (0.0..=MAX_PUSHBACK_S).contains(&seconds);
         eyre::ensure!(
-            is_time(pushback.longest_rest_s),
+            is_valid(pushback.longest_rest_s),
             "pushback.longest_rest_s: must be 0 to 86400"
         );
         eyre::ensure!(
-            is_time(pushback.longest_leave_s),
+            is_valid(pushback.longest_leave_s),
             "pushback.longest_leave_s: must be 0 to 86400"
         );
         let rollout = &settings.rollout;
-        let is_load = (1..=LONGEST_FIRST_LOAD_MS).contains(&rollout.first_load_ms);
-        eyre::ensure!(is_load, "rollout.first_load_ms: must be 1 to 3600000");
+        let is_valid_duration = (1..=MAX_FIRST_LOAD_MS).contains(&rollout.first_load_ms);
+        eyre::ensure!(is_valid_duration, "rollout.first_load_ms: must be 1 to 3600000");
         let is_share = (0.0..=1.0).contains(&rollout.least_serving);
         eyre::ensure!(is_share, "rollout.least_serving: must be 0 to 1");
         let is_share = (0.0..=1.0).contains(&rollout.usually_loading);
@@ -265,19 +274,19 @@
         let mut names = BTreeSet::from([BUILT_IN]);
         for policy in &self.policies {
             let is_new = names.insert(policy.name.as_str());
-            eyre::ensure!(is_new, "policy.name: \"{}\" is taken", policy.name);
+            eyre::ensure!(is_new, "policy.name: \"{}\" is already used", policy.name);
             let is_share = (0.0..=1.0).contains(&policy.share);
             eyre::ensure!(is_share, "policy.share: must be 0 to 1 for \"{}\"", policy.name);
         }
         let shares: f64 = self.policies.iter().map(|policy| policy.share).sum();
-        eyre::ensure!(shares <= 1.0, "policy.share: the shares add up to more than 1");
+        eyre::ensure!(shares <= 1.0, "policy.share: the sum of all shares must be at most 1");
         Ok(())
     }
 
-    /// Reads and compiles the policy programs into a table.
+    /// Reads and compiles the policy programs and puts them into a table.
     ///
     /// # Errors
-    /// What is wrong, with the file and, for a program, its line.
+    /// If a file can't be read or a program is invalid; names the file and, for a program, its line.
     pub fn load_policies(&self, table: &mut PolicyTable) -> Result<()> {
         let mut programs = Vec::new();
         for policy in &self.policies {
@@ -302,17 +311,17 @@
         Ok(())
     }
 
-    /// Internal addresses of the seeds.
+    /// Addresses of the seeds with the internal port.
     pub fn seed_peer_addresses(&self) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), self.peer_port)).collect()
     }
 
-    /// Time of a planned stop.
+    /// Time limit of a graceful stop.
     pub fn stop_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.stop_s)
     }
 
-    /// Bounds of a gateway.
+    /// Settings of a gateway.
     pub fn gateway_settings(&self) -> GatewaySettings {
         let bounds = &self.bounds;
         let revocation = Duration::from_millis(bounds.revocation_ms);
@@ -339,7 +348,7 @@
         }
     }
 
-    /// How long every kind of process believes what replicas and stores ask of it.
+    /// Upper bounds on pushback, the same for all kinds of processes.
     pub fn pushback_settings(&self) -> PushbackSettings {
         PushbackSettings {
             longest_rest: Duration::from_secs_f64(self.pushback.longest_rest_s),
@@ -347,7 +356,7 @@
         }
     }
 
-    /// Bounds of the roll-out of weights.
+    /// Settings of roll-outs of weights.
     pub fn rollout_settings(&self) -> RolloutSettings {
         RolloutSettings {
             lease: Duration::from_millis(self.bounds.lease_ms),
--- a/crates/topazmount/src/fleet/store_reader.rs
+++ b/crates/topazmount/src/fleet/store_reader.rs
@@ -1,7 +1,7 @@
-//! Follows the events of the stores of prompt parts, so that a gateway knows what they hold.
+//! Follows the event feeds of prompt stores, so that the gateway knows which prompt parts they hold.
 
 use super::caller::Caller;
-use super::gateway::Shared;
+use super::gateway::SharedState;
 use crate::Executor;
 use async_io::Timer;
 use eyre::{Result, bail, eyre};
@@ -11,29 +11,29 @@
 use topazmount_admission::{Pushback, Pushbacks};
 use topazmount_gateway::StoreKey;
 
-/// How often the list of stores is looked at.
+/// How often the list of stores is checked.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a store may hold an answer while it has no events.
-const HOLD: Duration = Duration::from_millis(1_000);
-/// Time beyond that after which a store counts as lost.
-const ANSWER_MARGIN: Duration = Duration::from_millis(400);
-/// Pause between two calls, in which events gather.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Pause after a call that failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(400);
+/// How long a store may hold a response while it has no events.
+const HOLD_TIME: Duration = Duration::from_millis(1_000);
+/// Time beyond that after which a call has timed out.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(400);
+/// Time between two calls, to batch events.
+const READ_INTERVAL: Duration = Duration::from_millis(250);
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Largest page of events.
-const MAX_PAGE: usize = 1024 * 1024;
+const MAX_PAGE_BYTES: usize = 1024 * 1024;
 
-/// Follows all stores of the catalog in force, for ever.
-pub(super) async fn run(executor: Executor, shared: Arc<Shared>) {
+/// Follows all stores of the current catalog, forever.
+pub(super) async fn run(executor: Executor, shared: Arc<SharedState>) {
     let mut followed: HashSet<StoreKey> = HashSet::new();
     loop {
-        let named: Vec<(StoreKey, String)> = {
+        let stores_in_catalog: Vec<(StoreKey, String)> = {
             let mut knowledge = shared.knowledge.lock().unwrap();
             let stores = knowledge.balancer().stores();
             stores.keys().map(|(key, address)| (key, address.to_owned())).collect()
         };
-        for (key, address) in named {
+        for (key, address) in stores_in_catalog {
             if followed.insert(key) {
                 let shared = shared.clone();
                 executor.spawn(async move { follow(&shared, key, &address).await }).detach();
@@ -43,66 +43,71 @@
     }
 }
 
-/// Follows one store until the catalog names it no more. Where there are many gateways only some
-/// follow each store, which holds few calls at a time; the others use another store or none.
-async fn follow(shared: &Shared, key: StoreKey, address: &str) {
+/// Follows one store until the catalog no longer lists it. With many gateways only some follow each
+/// store, since a store holds few calls at a time; the others use another store or none.
+async fn follow(shared: &SharedState, key: StoreKey, address: &str) {
     let mut caller = match Caller::new(address) {
         Ok(caller) => caller,
         Err(error) => return log::error!("gateway: event=store_refused error={error:#}"),
     };
     let name = caller.address().to_string();
-    let mut asked = Pushbacks::default();
+    let mut pushbacks = Pushbacks::default();
     loop {
-        asked.set(shared.knowledge.lock().unwrap().settings().pushback);
-        if !asked.may_call(&name, shared.clock.now()) {
-            Timer::after(FAILURE_PAUSE).await;
+        pushbacks.set(shared.knowledge.lock().unwrap().settings().pushback);
+        if !pushbacks.may_call(&name, shared.clock.now()) {
+            Timer::after(RETRY_DELAY).await;
             continue;
         }
         let position = shared.knowledge.lock().unwrap().balancer().stores().position(key);
         let Some(position) = position else { return };
         let now = shared.clock.now();
-        let is_ours = shared.knowledge.lock().unwrap().follows_store(address, now);
-        let result = match is_ours {
-            true => read_page(shared, key, &mut caller, &mut asked, position).await,
-            false => Err(eyre!("enough other gateways follow it")),
+        let should_follow = shared.knowledge.lock().unwrap().follows_store(address, now);
+        let result = match should_follow {
+            true => read_page(shared, key, &mut caller, &mut pushbacks, position).await,
+            false => Err(eyre!("enough other gateways follow the store")),
         };
         match result {
-            Ok(()) => Timer::after(PAUSE).await,
+            Ok(()) => Timer::after(READ_INTERVAL).await,
             Err(error) => {
                 if shared.knowledge.lock().unwrap().balancer().stores().lost(key) {
-                    shared.metrics.event("store_lost");
+                    shared.metrics.count_event("store_lost");
                     log::info!("gateway: event=store_lost address={address} error={error:#}");
                 }
-                Timer::after(FAILURE_PAUSE).await
+                Timer::after(RETRY_DELAY).await
             }
         };
     }
 }
 
 async fn read_page(
-    shared: &Shared,
+    shared: &SharedState,
     key: StoreKey,
     caller: &mut Caller,
-    asked: &mut Pushbacks,
+    pushbacks: &mut Pushbacks,
     position: u64,
 ) -> Result<()> {
-    let req = shared.dialect.store_events_call(position, HOLD);
-    let answer = caller.call(req, MAX_PAGE, HOLD + ANSWER_MARGIN).await?;
-    // A store is no replica, which others may take the place of: only a time of rest counts.
-    let said =
-        Pushback { is_leaving: false, ..shared.dialect.response_metadata(&answer.head).pushback };
-    if let Some(heard) = asked.hear(&caller.address().to_string(), said, shared.clock.now()) {
-        let rest = heard.rests_for.unwrap_or_default().as_millis();
-        log::info!("gateway: event=store_pushback address={} rest_ms={rest}", caller.address());
+    let request = shared.dialect.store_events_call(position, HOLD_TIME);
+    let response = caller.call(request, MAX_PAGE_BYTES, HOLD_TIME + RESPONSE_MARGIN).await?;
+    // Of a store's pushback only the backoff counts; stores don't leave.
+    let pushback =
+        Pushback { is_leaving: false, ..shared.dialect.response_metadata(&response.head).pushback };
+    if let Some(change) =
+        pushbacks.hear(&caller.address().to_string(), pushback, shared.clock.now())
+    {
+        let backoff_ms = change.rests_for.unwrap_or_default().as_millis();
+        log::info!(
+            "gateway: event=store_pushback address={} rest_ms={backoff_ms}",
+            caller.address()
+        );
     }
-    if answer.head.status != 200 {
-        bail!("status {}", answer.head.status);
+    if response.head.status != 200 {
+        bail!("status {}", response.head.status);
     }
-    let page = shared.dialect.parse_store_events(&answer.body);
-    let page = page.ok_or_else(|| eyre!("an answer that is no page of events"))?;
+    let page = shared.dialect.parse_store_events(&response.body);
+    let page = page.ok_or_else(|| eyre!("the response is not a page of events"))?;
     let (epoch, next) = (page.epoch, page.next);
     if shared.knowledge.lock().unwrap().balancer().stores().apply(key, page) {
-        shared.metrics.event("store_renewed");
+        shared.metrics.count_event("store_renewed");
         log::info!(
             "gateway: event=store_renewed address={} epoch={epoch} next={next}",
             caller.address()
--- a/crates/topazmount/src/fleet/stream.rs
+++ b/crates/topazmount/src/fleet/stream.rs
@@ -1,20 +1,20 @@
-//! Cuts a stream into whole events.
+//! Splits an event stream into events.
 
-/// Collects bytes and gives out whole events, each with the blank line that ends it.
+/// Buffers bytes and returns complete events, each with the blank line that ends it.
 #[derive(Debug, Default)]
 pub(super) struct EventSplitter {
     buffer: Vec<u8>,
-    /// Bytes of the buffer that hold no end of an event.
+    /// Bytes at the start of the buffer that contain no event end.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Adds bytes.
+    /// Appends bytes to the buffer.
     pub(super) fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Removes the next complete event from the buffer.
     pub(super) fn next(&mut self) -> Option<Vec<u8>> {
         let start = self.searched.saturating_sub(3);
         let found = event_end(&self.buffer[start..]).map(|end| start + end);
@@ -30,14 +30,14 @@
         }
     }
 
-    /// What is left after the last whole event.
-    pub(super) fn rest(&mut self) -> Vec<u8> {
+    /// Takes the bytes after the last complete event.
+    pub(super) fn take_remainder(&mut self) -> Vec<u8> {
         self.searched = 0;
         std::mem::take(&mut self.buffer)
     }
 
-    /// Bytes that belong to no whole event yet.
-    pub(super) fn pending(&self) -> usize {
+    /// Number of buffered bytes.
+    pub(super) fn buffered_len(&self) -> usize {
         self.buffer.len()
     }
 }
--- a/crates/topazmount/src/fleet/watcher.rs
+++ b/crates/topazmount/src/fleet/watcher.rs
@@ -1,4 +1,4 @@
-//! Asks control members for news, the leader first.
+//! Watches the control group: long polls control members for changes, the leader first.
 
 use crate::Executor;
 use crate::clock::Clock;
@@ -16,35 +16,34 @@
 use topazmount_types::Time;
 use topazmount_wire::ClusterKey;
 
-/// How long a member may hold an answer while there is no news.
-const HOLD: Duration = Duration::from_millis(400);
-/// Time beyond that after which another member is asked.
-const ANSWER_MARGIN: Duration = Duration::from_millis(350);
-/// Pause after a member that did not answer or could not vouch for what it knows. It grows with each of them in a row, and
-/// differs between gateways: 300 of them that ask every 60 ms keep the members of a group that has no leader busy with
-/// 5,000 questions a second.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
-/// Longest such pause, before it is spread: less than an election takes.
-const LONGEST_PAUSE: Duration = Duration::from_millis(300);
-/// Time for which a member that did not answer is not asked again while there are others.
-const AVOIDANCE: Duration = Duration::from_millis(1_500);
+/// How long a member may hold a response while nothing changes.
+const HOLD_TIME: Duration = Duration::from_millis(400);
+/// Time beyond that after which a request has timed out.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(350);
+/// First delay after a member failed or had no current data. It grows with each failure in a row and is
+/// randomized, so that many gateways don't overload a leaderless group.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(60);
+/// Longest such delay before randomization; less than an election takes.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Time for which a member that failed is not asked again if there are others.
+const AVOID_TIME: Duration = Duration::from_millis(1_500);
 
-/// Suspended time from which on it is told; less is the reading of two clocks one after the other.
-const TOLD_SUSPENSION: Duration = Duration::from_millis(100);
+/// Shortest suspension of the machine that is logged; shorter ones are inaccuracies of clock readings.
+const MIN_LOGGED_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// Members that are known at a time; more than any group has.
-const MOST_MEMBERS: usize = 32;
+/// Upper bound on known members; larger than any group.
+const MAX_MEMBERS: usize = 32;
 
-/// What the owner of a watcher does with news.
-pub trait NewsReader: Send + 'static {
-    /// What it has seen, and what it reports of itself.
-    fn request(&mut self) -> (Seen, Option<GatewayReport>);
-    /// What it saw of crashes lately.
-    fn crashes(&mut self) -> CrashNotes {
+/// Supplies a watcher's reports and receives its views.
+pub trait WatchHandler: Send + 'static {
+    /// Versions that have been applied, and the process's own report.
+    fn watch_state(&mut self) -> (Seen, Option<GatewayReport>);
+    /// Recently seen crashes.
+    fn crash_notes(&mut self) -> CrashNotes {
         CrashNotes::default()
     }
-    /// Takes news that was asked for at `asked_at`.
-    fn read(&mut self, view: FleetView, asked_at: Time);
+    /// Applies a view that was requested at `requested_at`.
+    fn on_view(&mut self, view: FleetView, requested_at: Time);
 }
 
 /// Addresses of members from the settings, which may change while the process runs.
@@ -52,12 +51,12 @@
 pub struct Seeds(Arc<Mutex<Vec<SocketAddr>>>);
 
 impl Seeds {
-    /// These seeds.
+    /// Starts with these seeds.
     pub fn new(seeds: Vec<SocketAddr>) -> Self {
         Seeds(Arc::new(Mutex::new(seeds)))
     }
 
-    /// Takes other seeds.
+    /// Replaces the seeds.
     pub fn set(&self, seeds: Vec<SocketAddr>) {
         *self.0.lock().unwrap() = seeds;
     }
@@ -67,14 +66,14 @@
     }
 }
 
-/// How a request for news ended.
-enum Asked {
-    Answered(Box<FleetView>),
-    Nudged,
+/// Result of one watch request.
+enum WatchResult {
+    View(Box<FleetView>),
+    ReportRequested,
     Failed,
 }
 
-/// Where news comes from.
+/// Watches the control group through one member at a time.
 pub struct Watcher {
     executor: Executor,
     clock: Clock,
@@ -86,16 +85,16 @@
     avoided: HashMap<SocketAddr, Time>,
     connect_limit: ConnectLimit,
     is_connected: bool,
-    /// When a member answered last.
-    answered_at: Time,
-    /// Time for which the machine has been suspended, as told last.
-    suspended: Duration,
-    /// The next pause after a member that was of no use, before it is spread.
-    pause: Duration,
+    /// When a member last responded.
+    responded_at: Time,
+    /// Total suspended time of the machine at the last log line.
+    logged_suspension: Duration,
+    /// Next delay after a failure, before randomization.
+    retry_delay: Duration,
 }
 
 impl Watcher {
-    /// A watcher that begins with the seeds.
+    /// Creates a watcher that starts with the seeds.
     pub fn new(
         executor: &Executor,
         clock: Clock,
@@ -114,126 +113,132 @@
             avoided: HashMap::new(),
             connect_limit: ConnectLimit::default(),
             is_connected: true,
-            answered_at: clock.now(),
-            suspended: Duration::ZERO,
-            pause: FIRST_PAUSE,
+            responded_at: clock.now(),
+            logged_suspension: Duration::ZERO,
+            retry_delay: MIN_RETRY_DELAY,
         }
     }
 
-    /// Asks for news for ever; at once when `nudges` says that there is something to report.
-    pub async fn run(mut self, mut reader: impl NewsReader, nudges: Receiver<()>) {
-        let mut turn: usize = rand::random_range(0..self.seeds.get().len().max(1));
+    /// Watches forever; sends a new request at once when `report_requests` receives a message.
+    pub async fn run(mut self, mut handler: impl WatchHandler, report_requests: Receiver<()>) {
+        let mut position: usize = rand::random_range(0..self.seeds.get().len().max(1));
         let mut leader: Option<SocketAddr> = None;
         loop {
-            self.tell_suspension();
-            let target = self.target(leader.take(), &mut turn);
-            let asked_at = self.clock.now();
-            let (seen, gateway) = reader.request();
+            self.log_suspension();
+            let target = self.next_target(leader.take(), &mut position);
+            let requested_at = self.clock.now();
+            let (seen, gateway) = handler.watch_state();
             let watch = WatchRequest {
                 gateway,
                 seen,
                 wants_gateways: self.wants_gateways,
-                wait: HOLD,
-                crashes: reader.crashes(),
+                wait: HOLD_TIME,
+                crashes: handler.crash_notes(),
             };
-            match self.ask(target, watch, &nudges).await {
-                Asked::Nudged => leader = Some(target),
-                Asked::Answered(view) => {
-                    self.note_connected(target, true);
-                    self.note_members(&view);
-                    let named = view.leader.as_ref().and_then(|address| address.parse().ok());
-                    let is_sure = view.staleness.is_some();
-                    // The member that has begun to tell of all replicas goes on: so those that start together are spread.
-                    let goes_on = is_sure && view.has_more;
-                    let next = if is_sure { named.or(Some(target)) } else { named };
-                    leader = if goes_on { Some(target) } else { next };
-                    reader.read(*view, asked_at);
-                    match is_sure {
-                        true => self.pause = FIRST_PAUSE,
-                        false => self.pass_over(target).await,
+            match self.send_watch(target, watch, &report_requests).await {
+                WatchResult::ReportRequested => leader = Some(target),
+                WatchResult::View(view) => {
+                    self.update_connected(target, true);
+                    self.update_members(&view);
+                    let reported_leader =
+                        view.leader.as_ref().and_then(|address| address.parse().ok());
+                    let is_current = view.staleness.is_some();
+                    // A member that has sent a part of all replicas sends the rest, so that gateways that
+                    // start together are spread over the members.
+                    let continues = is_current && view.has_more;
+                    let next =
+                        if is_current { reported_leader.or(Some(target)) } else { reported_leader };
+                    leader = if continues { Some(target) } else { next };
+                    handler.on_view(*view, requested_at);
+                    match is_current {
+                        true => self.retry_delay = MIN_RETRY_DELAY,
+                        false => self.avoid_and_wait(target).await,
                     }
                 }
-                Asked::Failed => {
-                    self.note_connected(target, false);
-                    self.pass_over(target).await;
+                WatchResult::Failed => {
+                    self.update_connected(target, false);
+                    self.avoid_and_wait(target).await;
                 }
             }
         }
     }
 
-    async fn ask(
+    async fn send_watch(
         &mut self,
         target: SocketAddr,
         watch: WatchRequest,
-        nudges: &Receiver<()>,
-    ) -> Asked {
+        report_requests: &Receiver<()>,
+    ) -> WatchResult {
         let client = self.clients.entry(target).or_insert_with(|| {
             let key = self.key.clone();
             ControlClient::with_limit(&self.executor, target, key, self.connect_limit)
         });
         let request = Request::Fleet(FleetRequest::Watch(watch));
-        let asking = async {
-            match client.ask(request, HOLD + ANSWER_MARGIN).await {
-                Ok(Response::Fleet(FleetResponse::View(view))) => Asked::Answered(view),
-                _ => Asked::Failed,
+        let watching = async {
+            match client.ask(request, HOLD_TIME + RESPONSE_MARGIN).await {
+                Ok(Response::Fleet(FleetResponse::View(view))) => WatchResult::View(view),
+                _ => WatchResult::Failed,
             }
         };
-        let nudged = async {
-            match nudges.recv().await {
-                Ok(()) => Asked::Nudged,
+        let report_requested = async {
+            match report_requests.recv().await {
+                Ok(()) => WatchResult::ReportRequested,
                 Err(_) => futures_lite::future::pending().await,
             }
         };
-        let asked = futures_lite::future::or(asking, nudged).await;
-        match asked {
-            // The connection may hang behind a cut; the next one is made anew.
-            Asked::Failed => {
+        let result = futures_lite::future::or(watching, report_requested).await;
+        match result {
+            // The connection may hang in a network partition, so the next request opens a new one.
+            WatchResult::Failed => {
                 self.clients.remove(&target);
                 self.connect_limit.failed();
             }
-            Asked::Answered(_) => self.connect_limit.succeeded(),
-            Asked::Nudged => {}
+            WatchResult::View(_) => self.connect_limit.succeeded(),
+            WatchResult::ReportRequested => {}
         }
-        asked
+        result
     }
 
-    /// The leader, unless it did not answer lately; else the next of all known members.
-    fn target(&mut self, leader: Option<SocketAddr>, turn: &mut usize) -> SocketAddr {
+    /// The leader, unless it failed recently; otherwise the next of all known members.
+    fn next_target(&mut self, leader: Option<SocketAddr>, position: &mut usize) -> SocketAddr {
         let now = self.clock.now();
         self.avoided.retain(|_, until| now < *until);
         if let Some(leader) = leader.filter(|address| !self.avoided.contains_key(address)) {
             return leader;
         }
-        let mut all = self.members.clone();
-        all.extend(self.seeds.get().iter().filter(|seed| !self.members.contains(seed)));
-        let open: Vec<SocketAddr> =
-            all.iter().filter(|address| !self.avoided.contains_key(address)).copied().collect();
-        let choice = if open.is_empty() { all } else { open };
-        *turn = turn.wrapping_add(1);
-        choice[*turn % choice.len()]
+        let mut candidates = self.members.clone();
+        candidates.extend(self.seeds.get().iter().filter(|seed| !self.members.contains(seed)));
+        let available: Vec<SocketAddr> = candidates
+            .iter()
+            .filter(|address| !self.avoided.contains_key(address))
+            .copied()
+            .collect();
+        let targets = if available.is_empty() { candidates } else { available };
+        *position = position.wrapping_add(1);
+        targets[*position % targets.len()]
     }
 
-    /// Turns away from a member that was of no use, after a pause.
-    async fn pass_over(&mut self, member: SocketAddr) {
+    /// Avoids a member that failed and waits before the next request.
+    async fn avoid_and_wait(&mut self, member: SocketAddr) {
         self.avoid(member);
         let spread = 0.5 + rand::random::<f64>();
-        async_io::Timer::after(self.pause.mul_f64(spread)).await;
-        self.pause = (self.pause * 3 / 2).min(LONGEST_PAUSE);
+        async_io::Timer::after(self.retry_delay.mul_f64(spread)).await;
+        self.retry_delay = (self.retry_delay * 3 / 2).min(MAX_RETRY_DELAY);
     }
 
     fn avoid(&mut self, address: SocketAddr) {
-        self.avoided.insert(address, self.clock.now() + AVOIDANCE);
+        self.avoided.insert(address, self.clock.now() + AVOID_TIME);
     }
 
-    fn note_members(&mut self, view: &FleetView) {
-        let named = view.members.iter().filter_map(|address| address.parse().ok());
-        // A member that is outside the group, or was removed long ago, names who may be a member:
-        // that is worth a try, and does not replace what a member in contact said.
+    fn update_members(&mut self, view: &FleetView) {
+        let listed = view.members.iter().filter_map(|address| address.parse().ok());
+        // A member without contact to the group may list outdated members. They are worth a try, but
+        // must not replace a list from a member that is in contact.
         if view.staleness.is_some() {
-            self.members = named.collect();
+            self.members = listed.collect();
         } else {
-            for address in named {
-                if self.members.len() < MOST_MEMBERS && !self.members.contains(&address) {
+            for address in listed {
+                if self.members.len() < MAX_MEMBERS && !self.members.contains(&address) {
                     self.members.push(address);
                 }
             }
@@ -242,23 +247,23 @@
         self.clients.retain(|address, _| members.contains(address) || seeds.contains(address));
     }
 
-    fn tell_suspension(&mut self) {
+    fn log_suspension(&mut self) {
         let suspended = self.clock.suspended();
-        let time = suspended.saturating_sub(self.suspended);
-        if time >= TOLD_SUSPENSION {
-            self.suspended = suspended;
-            log::warn!("link: event=suspended for_ms={}", time.as_millis());
+        let elapsed = suspended.saturating_sub(self.logged_suspension);
+        if elapsed >= MIN_LOGGED_SUSPENSION {
+            self.logged_suspension = suspended;
+            log::warn!("link: event=suspended for_ms={}", elapsed.as_millis());
         }
     }
 
-    /// Logs when all members have stopped answering, and when one does again.
-    fn note_connected(&mut self, target: SocketAddr, is_answered: bool) {
+    /// Logs when no member responds any more, and when one responds again.
+    fn update_connected(&mut self, target: SocketAddr, has_responded: bool) {
         let now = self.clock.now();
-        if is_answered {
-            self.answered_at = now;
+        if has_responded {
+            self.responded_at = now;
         }
-        // One that does not answer is no loss while others do.
-        let is_connected = now < self.answered_at + AVOIDANCE;
+        // A member that fails is no loss of connection while others respond.
+        let is_connected = now < self.responded_at + AVOID_TIME;
         if self.is_connected != is_connected {
             self.is_connected = is_connected;
             let state = if is_connected { "regained" } else { "lost" };
--- a/crates/topazmount/tests/fleet_settings.rs
+++ b/crates/topazmount/tests/fleet_settings.rs
@@ -1,11 +1,11 @@
-//! Settings of a fleet's process are checked as a whole, and each fault names its key.
+//! Settings of a fleet's processes are validated; each error names the invalid key.
 
 use rstest::rstest;
 use std::time::Duration;
 use topazmount::fleet::FleetSettings;
 use topazmount_routing::PolicyTable;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 name = "edge-1"
 zone = "north"
 region = "here"
@@ -29,21 +29,21 @@
 "#;
 
 #[test]
-fn good_settings_are_taken() {
-    let settings = FleetSettings::parse(GOOD).unwrap();
+fn valid_settings_are_parsed() {
+    let settings = FleetSettings::parse(VALID).unwrap();
     assert_eq!(settings.stop_timeout(), Duration::from_secs(8));
     assert_eq!(settings.gateway_settings().revocation, Some(Duration::from_secs(5)));
     let peers: Vec<String> =
         settings.seed_peer_addresses().iter().map(ToString::to_string).collect();
     assert_eq!(peers, ["10.1.0.33:7340", "10.2.0.24:7340"]);
-    let unbounded = GOOD.replace("revocation_ms = 5000", "revocation_ms = 0");
-    assert_eq!(FleetSettings::parse(&unbounded).unwrap().gateway_settings().revocation, None);
+    let without_limit = VALID.replace("revocation_ms = 5000", "revocation_ms = 0");
+    assert_eq!(FleetSettings::parse(&without_limit).unwrap().gateway_settings().revocation, None);
 }
 
 #[test]
-fn control_and_gateways_believe_what_replicas_ask_for_the_same_time() {
+fn control_and_gateways_use_the_same_pushback_limits() {
     let tables = "[pushback]\nlongest_rest_s = 5\n[rollout]\nfirst_load_ms = 700\n[[policy]]";
-    let settings = FleetSettings::parse(&GOOD.replace("[[policy]]", tables)).unwrap();
+    let settings = FleetSettings::parse(&VALID.replace("[[policy]]", tables)).unwrap();
     assert_eq!(settings.rollout_settings().pushback.longest_rest, Duration::from_secs(5));
     assert_eq!(settings.rollout_settings().pushback, settings.gateway_settings().pushback);
     assert_eq!(settings.rollout_settings().first_load, Duration::from_millis(700));
@@ -72,15 +72,19 @@
 #[case("zone = \"north\"", "zone = \"north\"\nzome = \"x\"", "zome")]
 #[case("share = 0.5", "share = 1.5", "policy.share")]
 #[case("name = \"nearest\"", "name = \"built-in\"", "policy.name")]
-fn each_fault_names_its_key(#[case] part: &str, #[case] instead: &str, #[case] key: &str) {
-    assert!(GOOD.contains(part), "{part}");
-    let error = FleetSettings::parse(&GOOD.replacen(part, instead, 1)).unwrap_err();
+fn errors_name_the_invalid_key(
+    #[case] original: &str,
+    #[case] replacement: &str,
+    #[case] key: &str,
+) {
+    assert!(VALID.contains(original), "{original}");
+    let error = FleetSettings::parse(&VALID.replacen(original, replacement, 1)).unwrap_err();
     assert!(format!("{error:#}").contains(key), "{error:#}");
 }
 
 #[test]
-fn a_program_that_can_not_be_read_is_named() {
-    let settings = FleetSettings::parse(GOOD).unwrap();
+fn errors_name_an_unreadable_policy_file() {
+    let settings = FleetSettings::parse(VALID).unwrap();
     let error = settings.load_policies(&mut PolicyTable::default()).unwrap_err();
     assert!(format!("{error:#}").contains("/nowhere.rhai"), "{error:#}");
 }
