--- a/crates/topazmount/src/fleet/control_service.rs
+++ b/crates/topazmount/src/fleet/control_service.rs
@@ -107,12 +107,8 @@
         for address in [settings.listen.control, settings.listen.directory].into_iter().flatten() {
             http_service::serve(executor, address, calls.clone()).await?;
         }
-        let sender = orders::OrderSender {
-            member,
-            dialect,
-            leader: settings.name.clone(),
-            external_log: external_log,
-        };
+        let sender =
+            orders::OrderSender { member, dialect, leader: settings.name.clone(), external_log };
         executor.spawn(orders::run(executor.clone(), actions, sender)).detach();
         let watcher = Watcher::new(executor, Clock::start(), key, Seeds::new(vec![internal]), true);
         let (_, no_report_requests) = async_channel::bounded(1);
@@ -168,14 +164,14 @@
         let started_at = Instant::now();
         let call = self.dialect.parse_control_call(&head, &body);
         let name = call.name();
-        let response = self.handle(call).await;
+        let response = self.dispatch(call).await;
         self.metrics.record_call(name, response.status, started_at.elapsed());
         response
     }
 }
 
 impl CallHandler {
-    async fn handle(&self, call: ControlCall) -> HttpResponse {
+    async fn dispatch(&self, call: ControlCall) -> HttpResponse {
         match call {
             ControlCall::Heartbeat(report) => {
                 let id = report.instance.id.clone();
@@ -257,7 +253,7 @@
 
     fn record_rollouts(&self) {
         let plans = self.member.plans();
-        let sum = |of: fn(&RolloutEvent) -> usize| plans.iter().map(of).sum::<usize>() as i64;
+        let sum = |field: fn(&RolloutEvent) -> usize| plans.iter().map(field).sum::<usize>() as i64;
         self.metrics.set_gauge("rollout_left", sum(|event| event.left));
         self.metrics.set_gauge("rollout_late", sum(|event| event.plan.late));
         self.metrics.set_gauge("rollout_at_once", sum(|event| event.plan.width));
--- a/crates/topazmount/src/fleet/directory.rs
+++ b/crates/topazmount/src/fleet/directory.rs
@@ -11,8 +11,9 @@
 /// With this many gateways in the client's zone, those of other zones are left out.
 const ENOUGH_IN_ZONE: usize = 2;
 
+/// Known gateways and the versions of the updates that were applied.
 #[derive(Default)]
-struct State {
+struct DirectoryState {
     seen: Seen,
     gateways: BTreeMap<String, GatewayReport>,
 }
@@ -21,7 +22,7 @@
 /// list is better than none.
 #[derive(Clone, Default)]
 pub struct Directory {
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<DirectoryState>>,
 }
 
 impl Directory {
--- a/crates/topazmount/src/fleet/gateway.rs
+++ b/crates/topazmount/src/fleet/gateway.rs
@@ -28,7 +28,7 @@
 
 /// Time for which a stopping gateway still accepts requests: clients may use a directory response for
 /// up to three times its time to live.
-const LEAVING_TIME: Duration = Duration::from_millis(2_700);
+const DRAIN_TIME: Duration = Duration::from_millis(2_700);
 /// Part of the stop timeout that is reserved for ending the process.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
 /// How often a stopping gateway checks whether it can stop.
@@ -65,7 +65,7 @@
 /// A running gateway.
 pub struct Gateway {
     shared: Arc<SharedState>,
-    stop_time: Duration,
+    stop_timeout: Duration,
     seeds: Seeds,
 }
 
@@ -87,7 +87,8 @@
         settings.load_policies(knowledge.policies())?;
         knowledge.set_own_address(peers.own_address());
         let (report_sender, report_requests) = async_channel::bounded(1);
-        let (broken_connections, broken) = async_channel::bounded(crash_watch::MAX_PENDING);
+        let (broken_connections, broken_receiver) =
+            async_channel::bounded(crash_watch::MAX_PENDING);
         let shared = Arc::new(SharedState {
             clock,
             dialect,
@@ -116,7 +117,9 @@
         }
         executor.spawn(peers::run_sender(peers.clone())).detach();
         executor.spawn(peers::run_receiver(peers, shared.clone())).detach();
-        executor.spawn(crash_watch::run(executor.clone(), shared.clone(), broken)).detach();
+        executor
+            .spawn(crash_watch::run(executor.clone(), shared.clone(), broken_receiver))
+            .detach();
         executor.spawn(store_reader::run(executor.clone(), shared.clone())).detach();
         let seeds = Seeds::new(settings.seed_peer_addresses());
         let watcher = Watcher::new(executor, clock, key, seeds.clone(), true);
@@ -129,7 +132,7 @@
         let watch = GatewayWatch { shared: shared.clone(), report };
         executor.spawn(watcher.run(watch, report_requests)).detach();
         log::info!("gateway: event=start name={} zone={}", settings.name, settings.zone);
-        Ok(Gateway { shared, stop_time: settings.stop_timeout(), seeds })
+        Ok(Gateway { shared, stop_timeout: settings.stop_timeout(), seeds })
     }
 
     /// Applies changed settings. Addresses and names only change at the next start.
@@ -151,15 +154,15 @@
         self.shared.is_stopping.store(true, Ordering::SeqCst);
         self.shared.request_report();
         let started_at = self.shared.clock.now();
-        let deadline = started_at + self.stop_time.saturating_sub(STOP_MARGIN);
+        let deadline = started_at + self.stop_timeout.saturating_sub(STOP_MARGIN);
         loop {
             async_io::Timer::after(STOP_CHECK_INTERVAL).await;
             let now = self.shared.clock.now();
             let is_idle = self.shared.open_requests.load(Ordering::SeqCst) == 0;
-            if now >= started_at + LEAVING_TIME {
+            if now >= started_at + DRAIN_TIME {
                 self.shared.refuses_requests.store(true, Ordering::SeqCst);
             }
-            if now >= deadline || (is_idle && now >= started_at + LEAVING_TIME) {
+            if now >= deadline || (is_idle && now >= started_at + DRAIN_TIME) {
                 break;
             }
         }
@@ -230,6 +233,7 @@
     }
 }
 
+/// Serves readiness checks.
 struct Readiness(Arc<SharedState>);
 
 impl Service for Readiness {
--- a/crates/topazmount/src/fleet/caller.rs
+++ b/crates/topazmount/src/fleet/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to one replica or store, reusing the connection where both sides allow it.
+//! HTTP client for one replica or store that reuses its connection.
 
 use super::dialect::HttpRequest;
 use super::pool::KeepAliveHint;
@@ -11,20 +11,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Makes calls to one address.
-pub(super) struct Caller {
+/// HTTP client for one address.
+pub(super) struct HttpClient {
     address: SocketAddr,
-    idle: Option<Wire>,
+    idle_connection: Option<Wire>,
 }
 
-impl Caller {
-    /// Creates a caller for an address.
+impl HttpClient {
+    /// Creates a client for an address.
     ///
     /// # Errors
     /// If the address is invalid.
     pub(super) fn new(address: &str) -> Result<Self> {
         let address = address.parse().wrap_err_with(|| format!("invalid address {address}"))?;
-        Ok(Caller { address, idle: None })
+        Ok(HttpClient { address, idle_connection: None })
     }
 
     /// Address that is called.
@@ -33,7 +33,7 @@
     }
 
     /// Sends a call and reads the complete response, with a body of at most `max_bytes`. The first call
-    /// of a caller is sent once; a later one is sent again if the idle connection breaks.
+    /// of a client is sent once; a later one is sent again if the idle connection breaks.
     ///
     /// # Errors
     /// If no complete response arrives within `timeout`.
@@ -43,14 +43,15 @@
         max_bytes: usize,
         timeout: Duration,
     ) -> Result<ClientAnswer> {
-        let mut fields = vec![("Host".to_owned(), self.address.to_string().into_bytes())];
-        fields.extend(request.headers.into_iter().map(|(name, value)| (name, value.into_bytes())));
-        let bytes = request_bytes(request.method, &request.target, &Headers(fields), &request.body);
+        let mut headers = vec![("Host".to_owned(), self.address.to_string().into_bytes())];
+        headers.extend(request.headers.into_iter().map(|(name, value)| (name, value.into_bytes())));
+        let bytes =
+            request_bytes(request.method, &request.target, &Headers(headers), &request.body);
         within(timeout, async {
-            if let Some(wire) = self.idle.take()
-                && let Ok(answer) = self.exchange(wire, request.method, &bytes, max_bytes).await
+            if let Some(wire) = self.idle_connection.take()
+                && let Ok(response) = self.exchange(wire, request.method, &bytes, max_bytes).await
             {
-                return Ok(answer);
+                return Ok(response);
             }
             let wire = connect(self.address, timeout).await?;
             self.exchange(wire, request.method, &bytes, max_bytes).await
@@ -70,7 +71,7 @@
         let framing = response_framing(&head, method)?;
         let body = BodyReader::new(framing).read_all(&mut wire, max_bytes).await?;
         if KeepAliveHint::from_head(&head, framing).response_end(&wire, true).is_clean() {
-            self.idle = Some(wire);
+            self.idle_connection = Some(wire);
         }
         Ok(ClientAnswer { head, body })
     }
--- a/crates/topazmount/src/fleet/mod.rs
+++ b/crates/topazmount/src/fleet/mod.rs
@@ -3,7 +3,6 @@
 //!
 //! Headers, paths and body formats are defined by a [`Dialect`], not here.
 
-mod caller;
 mod clients;
 mod control_service;
 mod crash_watch;
@@ -12,6 +11,7 @@
 mod exchange;
 mod external_log;
 mod gateway;
+mod http_client;
 mod http_service;
 mod metrics;
 mod orders;
--- a/crates/topazmount/src/fleet/orders.rs
+++ b/crates/topazmount/src/fleet/orders.rs
@@ -1,8 +1,8 @@
 //! Sends the leader's orders and report requests to replicas and reports the outcomes to the member.
 
-use super::caller::Caller;
 use super::dialect::{Dialect, HttpRequest};
 use super::external_log::ExternalLog;
+use super::http_client::HttpClient;
 use crate::Executor;
 use crate::control_process::LocalMember;
 use crate::http1::ClientAnswer;
@@ -107,7 +107,7 @@
 
 /// Sends a call exactly once, since an order may be executed although no response arrives.
 async fn send(address: &str, request: HttpRequest) -> Result<ClientAnswer> {
-    Caller::new(address)?.call(request, MAX_RESPONSE_BYTES, CALL_TIMEOUT).await
+    HttpClient::new(address)?.call(request, MAX_RESPONSE_BYTES, CALL_TIMEOUT).await
 }
 
 /// Label of an order's end in logs.
--- a/crates/topazmount/src/fleet/pool.rs
+++ b/crates/topazmount/src/fleet/pool.rs
@@ -81,10 +81,14 @@
     ) {
         let mut state = self.state.lock().unwrap();
         state.sweep(limits.max_idle, now);
-        let idle = state.by_replica.entry(incarnation.to_owned()).or_default();
-        idle.push(PooledConnection { wire, idle_since: now, announced: keep_alive.announced });
-        let surplus = idle.len().saturating_sub(limits.max_connections);
-        idle.drain(..surplus);
+        let connections = state.by_replica.entry(incarnation.to_owned()).or_default();
+        connections.push(PooledConnection {
+            wire,
+            idle_since: now,
+            announced: keep_alive.announced,
+        });
+        let surplus = connections.len().saturating_sub(limits.max_connections);
+        connections.drain(..surplus);
     }
 
     /// Takes the most recently used connection to a replica, with its idle time, if it may be used.
@@ -98,14 +102,14 @@
         loop {
             let PooledConnection { mut wire, idle_since, .. } = {
                 let mut state = self.state.lock().unwrap();
-                let idle = state.by_replica.get_mut(incarnation)?;
-                let last = idle.last()?;
+                let connections = state.by_replica.get_mut(incarnation)?;
+                let last = connections.last()?;
                 let connection =
                     IdleConnection { idle: now.since(last.idle_since), announced: last.announced };
                 if !may_use(connection) {
                     return None;
                 }
-                idle.pop()?
+                connections.pop()?
             };
             // The read is pending if the connection is open and no data has arrived.
             if futures_lite::future::poll_once(wire.fill()).await.is_none() {
@@ -131,12 +135,12 @@
             return;
         }
         self.swept_at = now;
-        for idle in self.by_replica.values_mut() {
-            idle.retain(|connection| {
+        for connections in self.by_replica.values_mut() {
+            connections.retain(|connection| {
                 now.since(connection.idle_since)
                     < connection.announced.unwrap_or(max_idle).min(max_idle)
             });
         }
-        self.by_replica.retain(|_, idle| !idle.is_empty());
+        self.by_replica.retain(|_, connections| !connections.is_empty());
     }
 }
--- a/crates/topazmount/src/fleet/store_reader.rs
+++ b/crates/topazmount/src/fleet/store_reader.rs
@@ -1,7 +1,7 @@
 //! Follows the event feeds of prompt stores, so that the gateway knows which prompt parts they hold.
 
-use super::caller::Caller;
 use super::gateway::SharedState;
+use super::http_client::HttpClient;
 use crate::Executor;
 use async_io::Timer;
 use eyre::{Result, bail, eyre};
@@ -46,11 +46,11 @@
 /// Follows one store until the catalog no longer lists it. With many gateways only some follow each
 /// store, since a store holds few calls at a time; the others use another store or none.
 async fn follow(shared: &SharedState, key: StoreKey, address: &str) {
-    let mut caller = match Caller::new(address) {
-        Ok(caller) => caller,
+    let mut client = match HttpClient::new(address) {
+        Ok(client) => client,
         Err(error) => return log::error!("gateway: event=store_refused error={error:#}"),
     };
-    let name = caller.address().to_string();
+    let name = client.address().to_string();
     let mut pushbacks = Pushbacks::default();
     loop {
         pushbacks.set(shared.knowledge.lock().unwrap().settings().pushback);
@@ -63,7 +63,7 @@
         let now = shared.clock.now();
         let should_follow = shared.knowledge.lock().unwrap().follows_store(address, now);
         let result = match should_follow {
-            true => read_page(shared, key, &mut caller, &mut pushbacks, position).await,
+            true => read_page(shared, key, &mut client, &mut pushbacks, position).await,
             false => Err(eyre!("enough other gateways follow the store")),
         };
         match result {
@@ -82,22 +82,22 @@
 async fn read_page(
     shared: &SharedState,
     key: StoreKey,
-    caller: &mut Caller,
+    client: &mut HttpClient,
     pushbacks: &mut Pushbacks,
     position: u64,
 ) -> Result<()> {
     let request = shared.dialect.store_events_call(position, HOLD_TIME);
-    let response = caller.call(request, MAX_PAGE_BYTES, HOLD_TIME + RESPONSE_MARGIN).await?;
+    let response = client.call(request, MAX_PAGE_BYTES, HOLD_TIME + RESPONSE_MARGIN).await?;
     // Of a store's pushback only the backoff counts; stores don't leave.
     let pushback =
         Pushback { is_leaving: false, ..shared.dialect.response_metadata(&response.head).pushback };
     if let Some(change) =
-        pushbacks.hear(&caller.address().to_string(), pushback, shared.clock.now())
+        pushbacks.hear(&client.address().to_string(), pushback, shared.clock.now())
     {
         let backoff_ms = change.rests_for.unwrap_or_default().as_millis();
         log::info!(
             "gateway: event=store_pushback address={} rest_ms={backoff_ms}",
-            caller.address()
+            client.address()
         );
     }
     if response.head.status != 200 {
@@ -110,7 +110,7 @@
         shared.metrics.count_event("store_renewed");
         log::info!(
             "gateway: event=store_renewed address={} epoch={epoch} next={next}",
-            caller.address()
+            client.address()
         );
     }
     Ok(())
