--- a/crates/topazmount/src/fleet/crash_watch.rs
+++ b/crates/topazmount/src/fleet/crash_watch.rs
@@ -15,7 +15,7 @@
 use topazmount_types::Instance;
 
 /// Time for a machine to refuse a connection to an ended process. A lost machine, a network partition or
-/// a busy process give no refusal.
+/// a busy process does not refuse.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Delays before the checks that follow the first one, which is made right after the break.
 const RECHECK_DELAYS: [Duration; 4] = [
--- a/crates/topazmount/src/fleet/dialect.rs
+++ b/crates/topazmount/src/fleet/dialect.rs
@@ -66,7 +66,7 @@
     pub instance: Option<InstanceId>,
     /// Version of the weights that produced it.
     pub weights_version: Option<u32>,
-    /// Requests to the caller for fewer requests.
+    /// Backoff, leaving or request limit that the replica asks for.
     pub pushback: Pushback,
     /// Whether it has a content encoding.
     pub is_encoded: bool,
@@ -168,7 +168,7 @@
     pub content_type: Option<&'static str>,
     /// Further headers.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Body bytes.
     pub body: Vec<u8>,
 }
 
@@ -181,7 +181,7 @@
     pub target: String,
     /// Request headers.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Body bytes.
     pub body: Vec<u8>,
 }
 
--- a/crates/topazmount/src/fleet/exchange/attempt.rs
+++ b/crates/topazmount/src/fleet/exchange/attempt.rs
@@ -263,7 +263,7 @@
     }
 
     /// Writes the request and reads the first response data at the same time, since the replica may
-    /// respond before it has read the whole body.
+    /// respond before it has read the body.
     async fn first_response(
         &self,
         wire: Wire,
--- a/crates/topazmount/src/fleet/exchange/choose.rs
+++ b/crates/topazmount/src/fleet/exchange/choose.rs
@@ -7,8 +7,7 @@
 use std::time::Duration;
 use topazmount_gateway::{Choice, PromptEvent, RequestPlan, Shard};
 
-/// Time for a coordinator to respond. After it the next one is asked, and then the gateway chooses
-/// by itself.
+/// Time for a coordinator to respond before the next one is asked.
 const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Replicas with a request limit that are tried for a grant in one choice.
--- a/crates/topazmount/src/fleet/exchange/mod.rs
+++ b/crates/topazmount/src/fleet/exchange/mod.rs
@@ -29,7 +29,7 @@
 };
 use topazmount_types::{ErrorKind, RequestDigest, RunState, TenantId, Time};
 
-/// Whether the client got its whole response.
+/// Whether the client got its complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseOutcome {
     /// The response is complete; the connection may be reused.
--- a/crates/topazmount/src/fleet/exchange/responses.rs
+++ b/crates/topazmount/src/fleet/exchange/responses.rs
@@ -27,7 +27,7 @@
     }
 
     /// Ends a request that no replica served: forwards a replica's failure response if there is one,
-    /// since it says more than an error of the gateway.
+    /// since it is more specific than an error of the gateway.
     pub(super) async fn finish_unserved(
         &mut self,
         plan: &RequestPlan,
--- a/crates/topazmount/src/fleet/metrics.rs
+++ b/crates/topazmount/src/fleet/metrics.rs
@@ -14,7 +14,7 @@
 /// Path at which metrics are served.
 pub const METRICS_PATH: &str = "/metrics";
 /// Upper bounds of latency buckets, in seconds.
-const BUCKETS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
+const LATENCY_BUCKETS_S: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
 
 /// Metrics of a process. All names start with `topazmount_`.
 pub struct Metrics {
@@ -55,7 +55,7 @@
         let help = "Microseconds for encoding, decoding and, of way step, the member's thread.";
         let message_busy_us = counter("message_busy_us", help, &by_kind);
         let options = HistogramOpts::new("seconds", "Time from reading a request, by what ended.")
-            .buckets(BUCKETS.to_vec());
+            .buckets(LATENCY_BUCKETS_S.to_vec());
         let latency =
             HistogramVec::new(options, &["until"]).expect("names and labels are valid and differ");
         let gauges = IntGaugeVec::new(Opts::new("state", "What the process believes."), &["of"])
--- a/crates/topazmount/src/fleet/store_reader.rs
+++ b/crates/topazmount/src/fleet/store_reader.rs
@@ -15,7 +15,7 @@
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 /// How long a store may hold a response while it has no events.
 const HOLD_TIME: Duration = Duration::from_millis(1_000);
-/// Time beyond that after which a call has timed out.
+/// Additional time after which a call times out.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(400);
 /// Time between two calls, to batch events.
 const READ_INTERVAL: Duration = Duration::from_millis(250);
@@ -44,7 +44,7 @@
 }
 
 /// Follows one store until the catalog no longer lists it. With many gateways only some follow each
-/// store, since a store holds few calls at a time; the others use another store or none.
+/// store, since a store serves few calls at a time; the others use another store or none.
 async fn follow(shared: &SharedState, key: StoreKey, address: &str) {
     let mut client = match HttpClient::new(address) {
         Ok(client) => client,
--- a/crates/topazmount/src/fleet/watcher.rs
+++ b/crates/topazmount/src/fleet/watcher.rs
@@ -18,7 +18,7 @@
 
 /// How long a member may hold a response while nothing changes.
 const HOLD_TIME: Duration = Duration::from_millis(400);
-/// Time beyond that after which a request has timed out.
+/// Additional time after which a watch request times out.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(350);
 /// First delay after a member failed or had no current data. It grows with each failure in a row and is
 /// randomized, so that many gateways don't overload a leaderless group.
