--- a/crates/gateway/src/balancer/replica.rs
+++ b/crates/gateway/src/balancer/replica.rs
@@ -1,6 +1,6 @@
 //! What a node knows of one replica.
 
-use super::{Change, ChoiceRequest};
+use super::{ChoiceRequest, ReplicaChange};
 use std::collections::HashMap;
 use std::time::Duration;
 use topazmount_consensus::Term;
@@ -72,7 +72,7 @@
             slot,
             in_flight: 0,
             pending_prefill: 0,
-            availability: Availability::Open,
+            availability: Availability::Available,
             models: Vec::new(),
             correction: (0, 0),
             went_back_until: Time::ZERO,
@@ -144,22 +144,22 @@
     }
 
     /// What is told where it holds older weights than was believed.
-    pub(super) fn went_back_from(&self, before: &LoadedModel, said: Option<u32>) -> Change {
-        Change::WentBack {
+    pub(super) fn went_back_from(&self, before: &LoadedModel, said: Option<u32>) -> ReplicaChange {
+        ReplicaChange::Downgraded {
             id: self.instance.id.clone(),
             start: self.instance.start,
             model: before.model.clone(),
-            before: before.version,
-            said,
+            recorded: before.version,
+            reported: said,
         }
     }
 
     /// Whether it may be sent a request, as far as anybody but the request's own failures says.
     pub(super) fn may_take(&self, request: &ChoiceRequest<'_>) -> bool {
         !self.instance.is_draining
-            && self.availability != Availability::Barred
-            && !request.exclude.contains(&self.name)
-            && request.held_to.is_none_or(|name| *name == self.name)
+            && self.availability != Availability::Excluded
+            && !request.tried.contains(&self.name)
+            && request.pinned_to.is_none_or(|name| *name == self.name)
     }
 
     /// Whether it holds older weights than was believed, as a request found that names a model.
@@ -170,7 +170,7 @@
     /// Whether others may take parts of prompts from it. One that is about to load still holds what
     /// it read; once it loads, taking from it fails quickly.
     pub(super) fn may_give(&self) -> bool {
-        self.availability != Availability::Barred
+        self.availability != Availability::Excluded
     }
 
     /// What its cache belongs to: this incarnation, with these weights.
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -52,9 +52,9 @@
         prompt: Some(prompt),
         model: Some("model"),
         namespace: 1,
-        wall: None,
-        exclude: &[],
-        held_to: None,
+        isolated_tenant: None,
+        tried: &[],
+        pinned_to: None,
         engine,
     }
 }
@@ -99,7 +99,7 @@
         slots: 32,
         is_draining: false,
         changed_at: 1,
-        start: Start::UNSAID,
+        start: Start::UNKNOWN,
     }
 }
 
--- a/crates/gateway/tests/pushback.rs
+++ b/crates/gateway/tests/pushback.rs
@@ -7,9 +7,9 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use topazmount_admission::{Heard, Pushback, PushbackSettings, Pushbacks};
+use topazmount_admission::{Pushback, PushbackChange, PushbackRecords, PushbackSettings};
 use topazmount_control::{FleetView, RemovedInstance};
-use topazmount_gateway::{Balancer, Choice, ChoiceRequest, GatewaySettings, Knowledge};
+use topazmount_gateway::{Balancer, Choice, ChoiceRequest, GatewaySettings, GatewayState};
 use topazmount_routing::PolicyTable;
 use topazmount_types::{Instance, Start, Time};
 
@@ -23,10 +23,11 @@
 }
 
 fn rest(time: Duration) -> Pushback {
-    Pushback { rest: Some(time), ..Pushback::default() }
+    Pushback { backoff: Some(time), ..Pushback::default() }
 }
 
-const LEAVING: Pushback = Pushback { rest: None, is_leaving: true, limit: None, unreadable: None };
+const LEAVING: Pushback =
+    Pushback { backoff: None, is_leaving: true, limit: None, invalid_field: None };
 
 fn started(id: &str, start: Start) -> Instance {
     Instance { start, ..instance(id, "pool", "north") }
@@ -35,7 +36,7 @@
 fn choose(balancer: &mut Balancer, exclude: &[String], now: Time) -> Option<Choice> {
     let prompt = prompt(&[(1, 500), (100, 400)]);
     let engine = engine();
-    let request = ChoiceRequest { exclude, ..choice_request(&prompt, Some(&engine)) };
+    let request = ChoiceRequest { tried: exclude, ..choice_request(&prompt, Some(&engine)) };
     balancer.choose(&request, now, &mut PolicyTable::default())
 }
 
@@ -47,7 +48,7 @@
     let other = [started("i-1", FIRST).incarnation_name()];
     let choice = choose(&mut balancer, &other, NOW).unwrap();
     assert!(balancer.may_send(&choice, NOW));
-    balancer.hear_pushback(&choice, said, NOW);
+    balancer.record_pushback(&choice, said, NOW);
     (balancer, choice)
 }
 
@@ -73,28 +74,29 @@
     #[case] at: u64,
     #[case] rests: bool,
 ) {
-    let mut pushbacks = Pushbacks::default();
+    let mut pushbacks = PushbackRecords::default();
     for (after, rest) in said {
-        let said = Pushback { rest: rest.map(millis), ..Pushback::default() };
-        pushbacks.hear("i-0", said, NOW + millis(*after));
+        let said = Pushback { backoff: rest.map(millis), ..Pushback::default() };
+        pushbacks.record("i-0", said, NOW + millis(*after));
     }
-    assert_eq!(pushbacks.may_call("i-0", NOW + millis(at)), !rests);
-    assert!(pushbacks.may_call("i-1", NOW + millis(at)), "another one did not ask");
+    assert_eq!(pushbacks.is_available("i-0", NOW + millis(at)), !rests);
+    assert!(pushbacks.is_available("i-1", NOW + millis(at)), "another one did not ask");
 }
 
 #[test]
 fn only_what_is_new_is_told() {
-    let mut pushbacks = Pushbacks::default();
-    let rested = |rest, adds| Some(Heard { rests_for: Some(rest), adds, leaves: false });
-    assert_eq!(pushbacks.hear("i-0", rest(millis(900)), NOW), rested(millis(900), millis(900)));
-    assert_eq!(pushbacks.hear("i-0", rest(millis(800)), NOW + millis(50)), None);
-    let longer = pushbacks.hear("i-0", rest(millis(900)), NOW + millis(50));
+    let mut pushbacks = PushbackRecords::default();
+    let rested =
+        |rest, adds| Some(PushbackChange { backoff: Some(rest), added: adds, is_leaving: false });
+    assert_eq!(pushbacks.record("i-0", rest(millis(900)), NOW), rested(millis(900), millis(900)));
+    assert_eq!(pushbacks.record("i-0", rest(millis(800)), NOW + millis(50)), None);
+    let longer = pushbacks.record("i-0", rest(millis(900)), NOW + millis(50));
     assert_eq!(longer, rested(millis(900), millis(50)));
     assert_eq!(pushbacks.counts(NOW + millis(50)), (1, 0));
-    let left = Some(Heard { rests_for: None, adds: Duration::ZERO, leaves: true });
-    assert_eq!(pushbacks.hear("i-0", LEAVING, NOW + millis(60)), left);
-    assert_eq!(pushbacks.hear("i-0", LEAVING, NOW + millis(70)), None);
-    assert_eq!(pushbacks.hear("i-0", Pushback::default(), NOW + millis(80)), None);
+    let left = Some(PushbackChange { backoff: None, added: Duration::ZERO, is_leaving: true });
+    assert_eq!(pushbacks.record("i-0", LEAVING, NOW + millis(60)), left);
+    assert_eq!(pushbacks.record("i-0", LEAVING, NOW + millis(70)), None);
+    assert_eq!(pushbacks.record("i-0", Pushback::default(), NOW + millis(80)), None);
     assert_eq!(pushbacks.counts(NOW + millis(80)), (0, 1));
 }
 
@@ -110,7 +112,7 @@
 #[test]
 fn a_success_of_an_earlier_request_ends_no_rest() {
     let (mut balancer, choice) = asked(rest(millis(2_000)));
-    balancer.succeeded(&choice, NOW + millis(10));
+    balancer.on_success(&choice, NOW + millis(10));
     assert!(!is_chosen(&mut balancer, NOW + millis(20)));
 }
 
@@ -118,13 +120,17 @@
 fn where_all_rest_the_first_one_that_comes_back_is_named() {
     let (mut balancer, _) = asked(rest(millis(2_000)));
     let other = choose(&mut balancer, &[], NOW).unwrap();
-    balancer.hear_pushback(&other, rest(millis(700)), NOW + millis(100));
+    balancer.record_pushback(&other, rest(millis(700)), NOW + millis(100));
     let now = NOW + millis(200);
     assert_eq!(choose(&mut balancer, &[], now), None);
     let prompt = prompt(&[(1, 500)]);
     let request = choice_request(&prompt, None);
-    assert_eq!(balancer.first_rested(&request, now), Some(millis(600)));
-    assert_eq!(balancer.first_rested(&request, NOW + millis(800)), None, "one may be asked again");
+    assert_eq!(balancer.time_until_available(&request, now), Some(millis(600)));
+    assert_eq!(
+        balancer.time_until_available(&request, NOW + millis(800)),
+        None,
+        "one may be asked again"
+    );
 }
 
 #[rstest]
@@ -150,7 +156,7 @@
 fn a_late_answer_of_an_earlier_incarnation_asks_nothing_of_the_next() {
     let (mut balancer, choice) = asked(Pushback::default());
     balancer.upsert(started("i-0", NEXT));
-    assert_eq!(balancer.hear_pushback(&choice, LEAVING, NOW), None);
+    assert_eq!(balancer.record_pushback(&choice, LEAVING, NOW), None);
     assert!(is_chosen(&mut balancer, NOW));
 }
 
@@ -195,7 +201,7 @@
     let (mut balancer, choice) = asked(Pushback::default());
     let start = Start(1_000_000u64.checked_add_signed(starts_after).unwrap());
     balancer.upsert(started("i-0", start));
-    balancer.hear_pushback(&choice, said, NOW);
+    balancer.record_pushback(&choice, said, NOW);
     assert_eq!(is_chosen(&mut balancer, NOW + millis(700)), !is_left_alone);
 }
 
@@ -205,13 +211,13 @@
     assert!(balancer.is_leaving(&choice, NOW));
     balancer.remove("i-1");
     assert_eq!(choose(&mut balancer, &[], NOW + Duration::from_secs(100)), None);
-    let longest = PushbackSettings::default().longest_leave;
+    let longest = PushbackSettings::default().max_leaving;
     assert!(choose(&mut balancer, &[], NOW + longest).is_some(), "but not for ever");
 }
 
 #[test]
 fn a_gateway_that_learns_of_the_next_incarnation_uses_it() {
-    let mut knowledge = Knowledge::new("north", GatewaySettings::default(), 1);
+    let mut knowledge = GatewayState::new("north", GatewaySettings::default(), 1);
     let view = |revision, instances, removed| FleetView {
         revision,
         instances,
@@ -220,7 +226,7 @@
     };
     knowledge.apply(&view(1, vec![started("i-0", FIRST)], Vec::new()), None, NOW);
     let choice = choose(knowledge.balancer(), &[], NOW).unwrap();
-    knowledge.balancer().hear_pushback(&choice, LEAVING, NOW);
+    knowledge.balancer().record_pushback(&choice, LEAVING, NOW);
     assert_eq!(choose(knowledge.balancer(), &[], NOW), None);
     let removed = RemovedInstance { id: "i-0".to_owned(), start: FIRST, was_announced: false };
     knowledge.apply(&view(2, Vec::new(), vec![removed]), None, NOW);
@@ -291,10 +297,10 @@
                     return;
                 }
                 let choice = self.under_way[at].remove(0);
-                let said = Pushback { rest: rest_ms.map(millis), ..Pushback::default() };
-                balancer.hear_pushback(&choice, said, self.now);
+                let said = Pushback { backoff: rest_ms.map(millis), ..Pushback::default() };
+                balancer.record_pushback(&choice, said, self.now);
                 if rest_ms.is_none() {
-                    balancer.succeeded(&choice, self.now);
+                    balancer.on_success(&choice, self.now);
                 }
                 let until = self.rests.entry((at, choice.instance.start.0)).or_default();
                 *until = (*until).max(self.now + millis(rest_ms.unwrap_or(0)));
--- a/crates/topazmount/src/fleet/clients.rs
+++ b/crates/topazmount/src/fleet/clients.rs
@@ -170,7 +170,7 @@
 ) {
     shared.metrics.record_response(kind.name(), Duration::ZERO);
     shared.event_log.info(|| {
-        let version = shared.knowledge.lock().unwrap().seen().document;
+        let version = shared.knowledge.lock().unwrap().seen_versions().document;
         format!(
             "gateway: event=answer request={} status={} reason={} host={host} path={path} \
              version={version}",
--- a/crates/topazmount/src/fleet/control_service.rs
+++ b/crates/topazmount/src/fleet/control_service.rs
@@ -18,7 +18,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use topazmount_consensus::Standing;
+use topazmount_consensus::MembershipStatus;
 use topazmount_control::{
     FleetRequest, FleetResponse, MemberStatus, Request, Response, RolloutEvent,
 };
@@ -177,7 +177,7 @@
                 let id = report.instance.id.clone();
                 let response = self.ask(FleetRequest::Heartbeat(report)).await;
                 match response {
-                    Some((FleetResponse::Foreign(cause), _)) => {
+                    Some((FleetResponse::Conflict(cause), _)) => {
                         self.external_log.record("heartbeat_foreign", &id, cause.name());
                         self.dialect.message_response(409, cause.name())
                     }
@@ -212,7 +212,7 @@
             }
             ControlCall::PublishWeights { model, version } => {
                 log::info!("control: event=weights_named model={model} version={version}");
-                self.submit(FleetRequest::NameWeights { model, version }).await
+                self.submit(FleetRequest::PublishWeights { model, version }).await
             }
             ControlCall::ReadDocument => match self.ask(FleetRequest::ReadDocument).await {
                 Some((FleetResponse::Document(Some(document)), _)) => {
@@ -254,16 +254,16 @@
     fn record_rollouts(&self) {
         let plans = self.member.plans();
         let sum = |field: fn(&RolloutEvent) -> usize| plans.iter().map(field).sum::<usize>() as i64;
-        self.metrics.set_gauge("rollout_left", sum(|event| event.left));
+        self.metrics.set_gauge("rollout_left", sum(|event| event.remaining));
         self.metrics.set_gauge("rollout_late", sum(|event| event.plan.late));
-        self.metrics.set_gauge("rollout_at_once", sum(|event| event.plan.width));
+        self.metrics.set_gauge("rollout_at_once", sum(|event| event.plan.concurrency));
     }
 
     fn record_member_status(&self, status: &MemberStatus) {
         let standing = match status.standing {
-            Standing::Outside => 0,
-            Standing::Learner => 1,
-            Standing::Voter => 2,
+            MembershipStatus::Outside => 0,
+            MembershipStatus::Learner => 1,
+            MembershipStatus::Voter => 2,
         };
         let count = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         let gauges = [
@@ -274,8 +274,8 @@
             ("applied", status.applied as i64),
             ("voters", count(status.membership.voters.len())),
             ("learners", count(status.membership.learners.len())),
-            ("doubled_voters", count(status.doubled_voters())),
-            ("answering_voters", count(status.answering_voters())),
+            ("doubled_voters", count(status.duplicate_voters())),
+            ("answering_voters", count(status.responding_voters())),
         ];
         for (name, value) in gauges {
             self.metrics.set_gauge(name, value);
--- a/crates/topazmount/src/fleet/crash_watch.rs
+++ b/crates/topazmount/src/fleet/crash_watch.rs
@@ -77,7 +77,7 @@
     }
     let now = shared.clock.now();
     let name = instance.incarnation_name();
-    let requests = shared.knowledge.lock().unwrap().crashes().ended(&name, now);
+    let requests = shared.knowledge.lock().unwrap().crashes().on_replica_ended(&name, now);
     if requests > 0 {
         report_crash(shared, &instance.id, requests, "refused");
     }
--- a/crates/topazmount/src/fleet/dialect.rs
+++ b/crates/topazmount/src/fleet/dialect.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 use topazmount_admission::Pushback;
 use topazmount_control::{
-    Document, GatewayReport, InstanceReport, OrderEnd, ReplicaReport, WeightsOrder,
+    Document, GatewayReport, InstanceReport, OrderOutcome, ReplicaReport, WeightsOrder,
 };
-use topazmount_gateway::{Catalog, CatalogProblem, Prompt, StoreEvents};
+use topazmount_gateway::{Catalog, CatalogError, Prompt, StoreEvents};
 use topazmount_types::{ErrorKind, InstanceId, Start};
 
 /// Metadata of a client's request.
@@ -215,7 +215,7 @@
     ///
     /// # Errors
     /// Why the document is invalid.
-    fn parse_catalog(&self, document: &[u8]) -> Result<Catalog, CatalogProblem>;
+    fn parse_catalog(&self, document: &[u8]) -> Result<Catalog, CatalogError>;
 
     /// Reads a call to the control plane, the directory or the readiness address.
     fn parse_control_call(&self, head: &RequestHead, body: &[u8]) -> ControlCall;
@@ -236,7 +236,7 @@
     fn order_call(&self, order: &WeightsOrder, leader: &str) -> HttpRequest;
 
     /// Outcome of an order by the response's status code.
-    fn order_outcome(&self, status: u16) -> OrderEnd;
+    fn order_outcome(&self, status: u16) -> OrderOutcome;
 
     /// Call that asks a replica for its report.
     fn report_call(&self) -> HttpRequest;
--- a/crates/topazmount/src/fleet/directory.rs
+++ b/crates/topazmount/src/fleet/directory.rs
@@ -3,7 +3,7 @@
 use super::watcher::WatchHandler;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
-use topazmount_control::{FleetView, GatewayReport, Seen};
+use topazmount_control::{FleetView, GatewayReport, SeenVersions};
 use topazmount_types::Time;
 
 /// Maximum number of gateways in one response.
@@ -14,7 +14,7 @@
 /// Known gateways and the versions of the updates that were applied.
 #[derive(Default)]
 struct DirectoryState {
-    seen: Seen,
+    seen: SeenVersions,
     gateways: BTreeMap<String, GatewayReport>,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl WatchHandler for Directory {
-    fn watch_state(&mut self) -> (Seen, Option<GatewayReport>) {
+    fn watch_state(&mut self) -> (SeenVersions, Option<GatewayReport>) {
         let mut seen = self.state.lock().unwrap().seen;
         // Only gateways are needed; maximum versions suppress all other updates.
         (seen.document, seen.revision, seen.statuses) = (u64::MAX, u64::MAX, (u64::MAX, u64::MAX));
--- a/crates/topazmount/src/fleet/exchange/attempt.rs
+++ b/crates/topazmount/src/fleet/exchange/attempt.rs
@@ -56,7 +56,7 @@
         };
         match self.send(wire, plan, in_flight, progress).await {
             SendResult::Ended(attempt) => attempt,
-            SendResult::NotSent => AttemptResult::Ended(AttemptEnd::HeldBack),
+            SendResult::NotSent => AttemptResult::Ended(AttemptEnd::NotSent),
             SendResult::NoData => {
                 self.retry_after_stale_connection(idle, plan, in_flight, progress).await
             }
@@ -75,7 +75,7 @@
     ) -> AttemptResult {
         let choice = &in_flight.choice;
         self.record_stale_connection(choice, idle);
-        if !plan.is_repeatable() || !self.take_retry() {
+        if !plan.is_retryable() || !self.take_retry() {
             return AttemptResult::Ended(AttemptEnd::Broken);
         }
         // Also if connecting fails: the first connection may have delivered the request.
@@ -98,7 +98,7 @@
         match self.send(wire, plan, in_flight, progress).await {
             SendResult::Ended(attempt) => attempt,
             SendResult::NotSent if unreachable == AttemptEnd::Unreachable => {
-                AttemptResult::Ended(AttemptEnd::HeldBack)
+                AttemptResult::Ended(AttemptEnd::NotSent)
             }
             SendResult::NotSent => AttemptResult::Ended(unreachable),
             SendResult::NoData => AttemptResult::Ended(AttemptEnd::Broken),
@@ -214,23 +214,23 @@
             return None;
         }
         match self.take_retry() {
-            true => Some(AttemptEnd::Silent),
+            true => Some(AttemptEnd::Unresponsive),
             false => is_excluded.then_some(AttemptEnd::Abandoned),
         }
     }
 
     fn is_excluded(&self, choice: &Choice) -> bool {
-        self.shared.knowledge.lock().unwrap().balancer().is_barred(choice)
+        self.shared.knowledge.lock().unwrap().balancer().is_excluded(choice)
     }
 
     /// Whether a request whose replica is silent may be sent to another one, and there is another.
     pub(super) fn may_switch(&self, plan: &RequestPlan) -> bool {
-        if !plan.may_be_sent_again() {
+        if !plan.may_resend() {
             return false;
         }
         let now = self.shared.clock.now();
         let mut knowledge = self.shared.knowledge.lock().unwrap();
-        knowledge.balancer().has_choice(&self.choice_request(plan), now)
+        knowledge.balancer().has_available_replica(&self.choice_request(plan), now)
     }
 
     fn upstream_bytes(&self, choice: &Choice, progress: &ClientProgress) -> Vec<u8> {
@@ -241,7 +241,7 @@
             remaining_time: self.remaining_time(),
             tenant: self.admission.tenant.as_ref().map(|tenant| tenant.name.clone()),
             cache_salt: has_prompt.then(|| self.cache_salt(version)),
-            expected_version: choice.expected.filter(|_| has_prompt),
+            expected_version: choice.required_version.filter(|_| has_prompt),
             // Without a known version, cached parts may not be shared with other replicas.
             fetch_from: choice.source.clone().filter(|_| version.is_some()),
             save_to: choice.save_to.clone().filter(|_| version.is_some()),
@@ -374,7 +374,8 @@
         let metadata = self.shared.dialect.response_metadata(&head);
         if metadata.is_misdirected {
             let is_other = metadata.instance.is_none_or(|id| id != choice.instance.id);
-            let expected_version = choice.expected.is_some() && self.metadata.prompt.is_some();
+            let expected_version =
+                choice.required_version.is_some() && self.metadata.prompt.is_some();
             return AttemptResult::Ended(match (is_other, expected_version) {
                 (true, _) => AttemptEnd::WrongInstance,
                 (false, true) => self.classify_version_refusal(choice, metadata.weights_version),
@@ -382,8 +383,8 @@
             });
         }
         if metadata.is_not_run {
-            let has_backoff = metadata.pushback.rest.is_some();
-            let end = if has_backoff { AttemptEnd::TurnedAway } else { AttemptEnd::NotRun };
+            let has_backoff = metadata.pushback.backoff.is_some();
+            let end = if has_backoff { AttemptEnd::PushedBack } else { AttemptEnd::NotRun };
             return AttemptResult::Ended(end);
         }
         match head.status {
--- a/crates/topazmount/src/fleet/exchange/choose.rs
+++ b/crates/topazmount/src/fleet/exchange/choose.rs
@@ -24,8 +24,8 @@
         let now = self.shared.clock.now();
         let update = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().sent(&choice, &request, now);
-            knowledge.news(&choice, &request, PromptEvent::Sent, now)
+            knowledge.balancer().on_sent(&choice, &request, now);
+            knowledge.load_update(&choice, &request, PromptEvent::Sent, now)
         };
         self.shared.peers.send_load_update(update);
         Some(InFlight {
@@ -103,7 +103,7 @@
             {
                 let mut knowledge = self.shared.knowledge.lock().unwrap();
                 if knowledge.gateways().is_own(coordinator) {
-                    return Ok(knowledge.choose_within(&request, Some(shard), now));
+                    return Ok(knowledge.choose_in_shard(&request, Some(shard), now));
                 }
             }
             if let Some(choice) = self.request_choice(plan, shard, coordinator).await {
@@ -123,13 +123,14 @@
     ) -> Option<Option<Choice>> {
         let request = self.choice_request(plan);
         let now = self.shared.clock.now();
-        let question = self.shared.knowledge.lock().unwrap().question(&request, shard, now)?;
+        let question =
+            self.shared.knowledge.lock().unwrap().placement_request(&request, shard, now)?;
         let timeout = COORDINATOR_TIMEOUT.min(self.remaining_time());
         let response = self.shared.peers.request_choice(coordinator, question, timeout).await;
         let now = self.shared.clock.now();
         let mut knowledge = self.shared.knowledge.lock().unwrap();
         let Some(offer) = response else {
-            knowledge.gateways().note_silent(coordinator, now);
+            knowledge.gateways().on_timeout(coordinator, now);
             drop(knowledge);
             self.shared.metrics.count_event("coordinator_silent");
             log::info!(
@@ -138,7 +139,7 @@
             );
             return None;
         };
-        knowledge.gateways().note_answer();
-        Some(offer.and_then(|offer| knowledge.adopt(&offer, &request, now)))
+        knowledge.gateways().on_response();
+        Some(offer.and_then(|offer| knowledge.accept_offer(&offer, &request, now)))
     }
 }
--- a/crates/topazmount/src/fleet/exchange/connection.rs
+++ b/crates/topazmount/src/fleet/exchange/connection.rs
@@ -17,7 +17,7 @@
         let service = &self.admission.service;
         let may_use = |idle| {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.connections().may_use(service, idle, plan.is_repeatable(), now)
+            knowledge.connections().may_reuse(service, idle, plan.is_retryable(), now)
         };
         let incarnation = choice.instance.incarnation_name();
         let taken = self.shared.pool.take(&incarnation, now, may_use).await;
@@ -37,11 +37,11 @@
             let balancer = knowledge.balancer();
             let is_gone = balancer.has_ended(choice) || balancer.is_leaving(choice, now);
             let end = keep_alive.response_end(&wire, is_request_sent);
-            if is_gone || !knowledge.connections().may_keep(end) {
+            if is_gone || !knowledge.connections().may_pool(end) {
                 return;
             }
-            let max_idle = knowledge.connections().most_idle(service, true, now);
-            PoolLimits { max_connections: knowledge.most_kept(service), max_idle }
+            let max_idle = knowledge.connections().max_idle(service, true, now);
+            PoolLimits { max_connections: knowledge.max_pooled_connections(service), max_idle }
         };
         self.shared.pool.put(&choice.instance.incarnation_name(), wire, keep_alive, limits, now);
     }
@@ -50,7 +50,7 @@
     pub(super) fn record_stale_connection(&self, choice: &Choice, idle: Duration) {
         let now = self.shared.clock.now();
         let service = &self.admission.service;
-        self.shared.knowledge.lock().unwrap().connections().forgot(service, idle, now);
+        self.shared.knowledge.lock().unwrap().connections().on_stale_connection(service, idle, now);
         self.shared.metrics.count_event("connection_forgotten");
         self.shared.event_log.info(|| {
             format!(
--- a/crates/topazmount/src/fleet/exchange/limit.rs
+++ b/crates/topazmount/src/fleet/exchange/limit.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
-use topazmount_gateway::{Choice, GrantAnswer, Granting, LimitNews, STRIPES, StripeId};
+use topazmount_gateway::{Choice, GrantResponse, Granter, LimitUpdate, STRIPES, StripeId};
 use topazmount_types::Time;
 
 /// Time for a granter to respond.
@@ -33,7 +33,7 @@
 /// Units granted to a request. Returned on drop unless the request may have run.
 pub(super) struct Grant<'a> {
     shared: &'a SharedState,
-    source: Option<(Granting, StripeId)>,
+    source: Option<(Granter, StripeId)>,
     amount: u32,
     granted_at: Time,
     may_have_run: AtomicBool,
@@ -59,10 +59,10 @@
             return;
         }
         match granting {
-            Granting::Own => {
-                self.shared.knowledge.lock().unwrap().give_back(stripe, self.amount, now);
+            Granter::Local => {
+                self.shared.knowledge.lock().unwrap().return_units(stripe, self.amount, now);
             }
-            Granting::Other(granter) => {
+            Granter::Remote(granter) => {
                 self.shared.peers.return_units(granter, stripe, self.amount)
             }
         }
@@ -74,7 +74,7 @@
     /// the tenant has no limit.
     pub(super) async fn acquire_tenant_grant(&self) -> Result<Option<Grant<'e>>, OverLimit> {
         let cost =
-            self.shared.knowledge.lock().unwrap().counted(self.admission, self.metadata.tokens);
+            self.shared.knowledge.lock().unwrap().limit_cost(self.admission, self.metadata.tokens);
         let Some((tenant, amount)) = cost else { return Ok(None) };
         let grant = |source, granted_at| Grant {
             shared: self.shared,
@@ -88,16 +88,16 @@
         for offset in 0..STRIPES {
             let stripe = StripeId { owner: tenant, stripe: (first_stripe + offset) % STRIPES };
             let requested_at = self.shared.clock.now();
-            let granting = self.shared.knowledge.lock().unwrap().granting(stripe, requested_at);
+            let granting = self.shared.knowledge.lock().unwrap().granter(stripe, requested_at);
             let Some(granting) = granting else { continue };
             match self.request_tenant_grant(granting, stripe, amount).await {
-                Some(GrantAnswer::Granted) => {
+                Some(GrantResponse::Granted) => {
                     return Ok(Some(grant(Some((granting, stripe)), requested_at)));
                 }
-                Some(GrantAnswer::Over(wait)) => {
+                Some(GrantResponse::LimitExceeded(wait)) => {
                     min_wait = Some(min_wait.map_or(wait, |known| known.min(wait)));
                 }
-                Some(GrantAnswer::NotHolder) | None => {}
+                Some(GrantResponse::NotGranter) | None => {}
             }
         }
         self.spend_ungranted(tenant, amount, min_wait)
@@ -106,16 +106,16 @@
 
     async fn request_tenant_grant(
         &self,
-        granting: Granting,
+        granting: Granter,
         stripe: StripeId,
         amount: u32,
-    ) -> Option<GrantAnswer> {
+    ) -> Option<GrantResponse> {
         let granter = match granting {
-            Granting::Own => {
+            Granter::Local => {
                 let now = self.shared.clock.now();
                 return Some(self.shared.knowledge.lock().unwrap().grant(stripe, amount, now));
             }
-            Granting::Other(granter) => granter,
+            Granter::Remote(granter) => granter,
         };
         let timeout = GRANT_TIMEOUT.min(self.remaining_time());
         let response = self.shared.peers.request_grant(granter, stripe, amount, timeout).await;
@@ -127,7 +127,7 @@
 
     fn record_silent_granter(&self, granter: SocketAddr) {
         let now = self.shared.clock.now();
-        self.shared.knowledge.lock().unwrap().note_silent_granter(granter, now);
+        self.shared.knowledge.lock().unwrap().on_granter_timeout(granter, now);
         self.shared.metrics.count_event("granter_silent");
         let request = &self.metadata.id;
         self.shared
@@ -143,7 +143,8 @@
         wait: Option<Duration>,
     ) -> Result<Time, OverLimit> {
         let now = self.shared.clock.now();
-        let is_spent = self.shared.knowledge.lock().unwrap().spend_ungranted(tenant, amount, now);
+        let is_spent =
+            self.shared.knowledge.lock().unwrap().spend_without_grant(tenant, amount, now);
         if is_spent {
             self.shared.metrics.count_event("ungranted_spent");
             return Ok(now);
@@ -163,20 +164,20 @@
         let requested_at = self.shared.clock.now();
         let (update, granting) = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            let update = knowledge.limit_news(choice, requested_at)?;
-            (update, knowledge.granting_send(update.replica, requested_at))
+            let update = knowledge.limit_update(choice, requested_at)?;
+            (update, knowledge.send_granter(update.replica, requested_at))
         };
         let response = match granting {
             None => None,
-            Some(Granting::Own) => {
+            Some(Granter::Local) => {
                 let response =
                     self.shared.knowledge.lock().unwrap().grant_send(&update, requested_at);
                 self.shared.metrics.count_event(send_grant_event(response));
                 Some(response)
             }
-            Some(Granting::Other(granter)) => self.request_send_grant(granter, update).await,
+            Some(Granter::Remote(granter)) => self.request_send_grant(granter, update).await,
         };
-        if response == Some(GrantAnswer::Granted) {
+        if response == Some(GrantResponse::Granted) {
             let source = granting.map(|granting| (granting, StripeId::of_replica(update.replica)));
             let may_have_run = AtomicBool::new(false);
             return Some(Grant {
@@ -194,27 +195,29 @@
     async fn request_send_grant(
         &self,
         granter: SocketAddr,
-        update: LimitNews,
-    ) -> Option<GrantAnswer> {
+        update: LimitUpdate,
+    ) -> Option<GrantResponse> {
         let timeout = GRANT_TIMEOUT.min(self.remaining_time());
         let response = self.shared.peers.request_send_grant(granter, update, timeout).await;
         if response.is_none() {
             let now = self.shared.clock.now();
-            self.shared.knowledge.lock().unwrap().note_silent_send_granter(granter, now);
+            self.shared.knowledge.lock().unwrap().on_send_granter_timeout(granter, now);
             self.shared.metrics.count_event("send_granter_silent");
         }
         response
     }
 
-    fn record_limit_spent(&self, choice: &Choice, replica: u64, response: Option<GrantAnswer>) {
+    fn record_limit_spent(&self, choice: &Choice, replica: u64, response: Option<GrantResponse>) {
         let (event, pause) = match response {
-            Some(GrantAnswer::Over(wait)) => ("limit_spent", wait.max(MIN_EXHAUSTED_PAUSE)),
+            Some(GrantResponse::LimitExceeded(wait)) => {
+                ("limit_spent", wait.max(MIN_EXHAUSTED_PAUSE))
+            }
             _ => ("limit_not_granted", NO_GRANTER_PAUSE),
         };
         // Spread, so that gateways don't ask again all at once.
         let pause = pause.mul_f64(1.0 + rand::random::<f64>());
         let now = self.shared.clock.now();
-        self.shared.knowledge.lock().unwrap().note_spent(replica, pause, now);
+        self.shared.knowledge.lock().unwrap().pause_replica(replica, pause, now);
         self.shared.metrics.count_event(event);
         self.shared.event_log.info(|| {
             format!(
--- a/crates/topazmount/src/fleet/exchange/mod.rs
+++ b/crates/topazmount/src/fleet/exchange/mod.rs
@@ -19,7 +19,6 @@
 use crate::http1::{BodyReader, RequestHead, ResponseHead, Wire};
 use async_net::TcpStream;
 use limit::Grant;
-use record::attempt_end_label;
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -160,8 +159,8 @@
         let now = self.shared.clock.now();
         let update = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().ended(&self.choice, has_first_token);
-            knowledge.news_of_end(&self.choice, event, now)
+            knowledge.balancer().on_ended(&self.choice, has_first_token);
+            knowledge.end_update(&self.choice, event, now)
         };
         self.shared.peers.send_load_update(update);
     }
@@ -184,9 +183,9 @@
             prompt: self.metadata.prompt.as_ref(),
             model: self.metadata.model.as_deref(),
             namespace: self.cache_namespace(),
-            wall: self.isolated_tenant(),
-            exclude: plan.tried(),
-            held_to: plan.held_to(),
+            isolated_tenant: self.isolated_tenant(),
+            tried: plan.tried(),
+            pinned_to: plan.pinned_to(),
             engine: self.engine.as_ref(),
         }
     }
@@ -223,14 +222,14 @@
     /// Serves the request until its response is complete or has failed.
     pub(super) async fn run(mut self) -> ResponseOutcome {
         let route = &self.admission.route;
-        let mut plan = RequestPlan::new(route.is_repeatable(), route.attempts);
+        let mut plan = RequestPlan::new(route.is_retryable(), route.attempts);
         let mut progress = ClientProgress {
             last_event_id: self.metadata.last_event_id.clone(),
             ..ClientProgress::default()
         };
         let now = self.shared.clock.now();
         let service = self.admission.service.clone();
-        self.shared.knowledge.lock().unwrap().count_request(&service, now);
+        self.shared.knowledge.lock().unwrap().record_request(&service, now);
         if !self.is_admitted_by_policy(&plan) {
             return self.fail(&plan, &progress, ErrorKind::RefusedByPolicy).await;
         }
@@ -262,7 +261,7 @@
             }
             let Some(mut in_flight) = self.choose(plan).await else {
                 // The incarnation that the request was pinned to has ended.
-                if plan.let_go() {
+                if plan.unpin() {
                     continue;
                 }
                 return self.finish_unserved(plan, progress, plan.refusal(), failure).await;
@@ -319,7 +318,7 @@
                 AttemptResult::Ended(end) => end,
             };
             self.record_failure(&in_flight, end);
-            self.log_attempt(&in_flight.choice, attempt_end_label(end));
+            self.log_attempt(&in_flight.choice, end.name());
             if end == AttemptEnd::Broken {
                 self.check_for_crash(&in_flight.choice, started_at).await;
             }
@@ -353,18 +352,18 @@
             return Some(ErrorKind::AnswerIncomplete);
         }
         match plan.end(end) {
-            NextStep::Retry { is_repeat: false, .. } => None,
-            NextStep::Retry { otherwise, .. } => (!self.take_retry()).then_some(otherwise),
-            NextStep::RetryOrPassOn => (!self.take_retry()).then_some(ErrorKind::BackendFailed),
-            NextStep::PassOn => Some(ErrorKind::BackendFailed),
-            NextStep::Answer(kind) => Some(kind),
+            NextStep::Retry { needs_budget: false, .. } => None,
+            NextStep::Retry { fallback, .. } => (!self.take_retry()).then_some(fallback),
+            NextStep::RetryOrForward => (!self.take_retry()).then_some(ErrorKind::BackendFailed),
+            NextStep::Forward => Some(ErrorKind::BackendFailed),
+            NextStep::Respond(kind) => Some(kind),
         }
     }
 
     /// Takes one retry from the service's retry budget, if there is one left.
     fn take_retry(&self) -> bool {
         let now = self.shared.clock.now();
-        self.shared.knowledge.lock().unwrap().may_repeat(&self.admission.service, now)
+        self.shared.knowledge.lock().unwrap().try_retry(&self.admission.service, now)
     }
 }
 
--- a/crates/topazmount/src/fleet/exchange/pushback.rs
+++ b/crates/topazmount/src/fleet/exchange/pushback.rs
@@ -19,7 +19,7 @@
     ) {
         self.record_limit(choice, metadata, sent_at);
         let pushback = metadata.pushback;
-        let has_pushback = pushback.asks() || pushback.unreadable.is_some();
+        let has_pushback = pushback.is_requested() || pushback.invalid_field.is_some();
         let is_other_replica =
             metadata.instance.as_ref().is_some_and(|id| *id != choice.instance.id);
         if is_other_replica || !(has_pushback || metadata.is_not_run) {
@@ -28,16 +28,16 @@
         let now = self.shared.clock.now();
         let change = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().hear_pushback(choice, pushback, now)
+            knowledge.balancer().record_pushback(choice, pushback, now)
         };
         if let Some(change) = change {
-            self.shared.metrics.add_backoff(&self.admission.service, change.adds);
+            self.shared.metrics.add_backoff(&self.admission.service, change.added);
         }
-        if change.is_some_and(|change| change.leaves) {
+        if change.is_some_and(|change| change.is_leaving) {
             self.shared.pool.close(&choice.instance.incarnation_name());
         }
         // A leaving replica repeats this in each response; only changes are logged.
-        if change.is_none() && pushback.unreadable.is_none() && !metadata.is_not_run {
+        if change.is_none() && pushback.invalid_field.is_none() && !metadata.is_not_run {
             return;
         }
         let millis = |backoff: Option<Duration>| {
@@ -52,10 +52,10 @@
                 choice.instance.id,
                 choice.instance.start,
                 metadata.is_not_run,
-                millis(pushback.rest),
+                millis(pushback.backoff),
                 pushback.is_leaving,
-                pushback.unreadable.unwrap_or("none"),
-                millis(change.and_then(|change| change.rests_for))
+                pushback.invalid_field.unwrap_or("none"),
+                millis(change.and_then(|change| change.backoff))
             )
         });
     }
@@ -63,8 +63,8 @@
     /// Sends a changed limit to other gateways.
     fn send_limit_update(&self, choice: &Choice, now: Time) {
         let mut knowledge = self.shared.knowledge.lock().unwrap();
-        let Some(update) = knowledge.limit_news(choice, now) else { return };
-        let recipients = knowledge.told_of_limit(update.replica, now);
+        let Some(update) = knowledge.limit_update(choice, now) else { return };
+        let recipients = knowledge.limit_update_recipients(update.replica, now);
         drop(knowledge);
         self.shared.peers.send_limit_update(recipients, update);
     }
@@ -76,7 +76,7 @@
         let is_other_replica =
             metadata.instance.as_ref().is_some_and(|id| *id != choice.instance.id);
         let has_ended =
-            limit.is_none() && is_from_replica && metadata.pushback.unreadable.is_none();
+            limit.is_none() && is_from_replica && metadata.pushback.invalid_field.is_none();
         if is_other_replica || metadata.is_misdirected || !(limit.is_some() || has_ended) {
             return;
         }
@@ -87,13 +87,13 @@
         let now = self.shared.clock.now();
         let change = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().hear_limit(choice, limit, sent_at, now)
+            knowledge.balancer().record_limit(choice, limit, sent_at, now)
         };
         let Some(change) = change else { return };
         self.send_limit_update(choice, now);
         let (event, limit) = match change {
-            LimitChange::Named(limit) => ("limit_named", Some(limit)),
-            LimitChange::Ended => ("limit_ended", None),
+            LimitChange::Set(limit) => ("limit_named", Some(limit)),
+            LimitChange::Removed => ("limit_ended", None),
         };
         self.shared.metrics.count_event(event);
         self.shared.event_log.info(|| {
--- a/crates/topazmount/src/fleet/exchange/record.rs
+++ b/crates/topazmount/src/fleet/exchange/record.rs
@@ -6,7 +6,7 @@
 use crate::http1::ResponseHead;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use topazmount_gateway::{AttemptEnd, Choice, PromptEvent, Refused, RequestPlan};
+use topazmount_gateway::{AttemptEnd, Choice, PromptEvent, RequestPlan, VersionRefusal};
 use topazmount_types::{RunState, Time};
 
 /// Share of the target latency after which a replica that sent nothing counts as silent, for requests
@@ -24,7 +24,7 @@
         let version = metadata.weights_version.filter(|_| !metadata.is_misdirected);
         if let (Some(model), Some(version)) = (&self.metadata.model, version) {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().saw_version(choice, model, version);
+            knowledge.balancer().record_version(choice, model, version);
         }
     }
 
@@ -33,9 +33,9 @@
         let now = self.shared.clock.now();
         let was_suspected = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().succeeded(choice, now);
-            knowledge.crashes().acquit(&choice.instance.incarnation_name(), sent_at);
-            knowledge.crashes().completed(self.digest, now)
+            knowledge.balancer().on_success(choice, now);
+            knowledge.crashes().clear_suspicion(&choice.instance.incarnation_name(), sent_at);
+            knowledge.crashes().record_completion(self.digest, now)
         };
         if was_suspected {
             self.shared.request_report();
@@ -62,9 +62,9 @@
         let now = self.shared.clock.now();
         let mut knowledge = self.shared.knowledge.lock().unwrap();
         let balancer = knowledge.balancer();
-        let has_failed = !balancer.was_heard_since(choice, sent_at);
+        let has_failed = !balancer.has_responded_since(choice, sent_at);
         if has_failed {
-            balancer.failed(choice, now);
+            balancer.on_failure(choice, now);
         }
         has_failed
     }
@@ -76,9 +76,10 @@
         let balancer = knowledge.balancer();
         match end {
             AttemptEnd::WrongInstance => {
-                balancer.is_replaced(choice, now);
+                balancer.on_address_reused(choice, now);
                 // Another replica has its address, so connections that broke earlier were crashes.
-                let requests = knowledge.crashes().ended(&choice.instance.incarnation_name(), now);
+                let requests =
+                    knowledge.crashes().on_replica_ended(&choice.instance.incarnation_name(), now);
                 drop(knowledge);
                 if requests > 0 {
                     crash_watch::report_crash(
@@ -90,16 +91,16 @@
                 }
             }
             // The replica's weights were recorded when the response was classified.
-            AttemptEnd::OtherWeights | AttemptEnd::OldWeights => {}
+            AttemptEnd::VersionMismatch | AttemptEnd::OutdatedWeights => {}
             // No failures; pushback and silence were recorded when they were seen.
             AttemptEnd::NotRun
-            | AttemptEnd::TurnedAway
-            | AttemptEnd::HeldBack
-            | AttemptEnd::Silent
+            | AttemptEnd::PushedBack
+            | AttemptEnd::NotSent
+            | AttemptEnd::Unresponsive
             | AttemptEnd::Abandoned
             | AttemptEnd::TimedOut => {}
             AttemptEnd::Unreachable | AttemptEnd::Broken | AttemptEnd::Failed => {
-                balancer.failed(choice, now);
+                balancer.on_failure(choice, now);
                 in_flight.has_failed.store(true, Ordering::SeqCst);
             }
         }
@@ -118,8 +119,8 @@
         let request = self.choice_request(plan);
         let update = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.first_token(choice, &request, now.since(sent_at), now);
-            knowledge.news(choice, &request, PromptEvent::Read, now)
+            knowledge.on_first_token(choice, &request, now.since(sent_at), now);
+            knowledge.load_update(choice, &request, PromptEvent::Prefilled, now)
         };
         self.shared.peers.send_load_update(update);
     }
@@ -157,14 +158,14 @@
         let now = self.shared.clock.now();
         let refused = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().refused_version(choice, model, reported, now)
+            knowledge.balancer().on_version_refused(choice, model, reported, now)
         };
         match refused {
-            Refused::AskAgain => AttemptEnd::OtherWeights,
-            Refused::Unexplained => AttemptEnd::NotRun,
-            Refused::WentBack(change) => {
+            VersionRefusal::RetrySame => AttemptEnd::VersionMismatch,
+            VersionRefusal::Unexplained => AttemptEnd::NotRun,
+            VersionRefusal::Downgraded(change) => {
                 self.shared.handle_change(&change, "refusal");
-                AttemptEnd::OldWeights
+                AttemptEnd::OutdatedWeights
             }
         }
     }
@@ -178,7 +179,7 @@
                 self.metadata.id,
                 choice.instance.id,
                 choice.instance.start,
-                choice.expected.unwrap_or(0),
+                choice.required_version.unwrap_or(0),
                 reported.unwrap_or(0)
             )
         });
@@ -218,21 +219,3 @@
         });
     }
 }
-
-/// Label of an attempt's end in logs and metrics.
-pub(super) fn attempt_end_label(end: AttemptEnd) -> &'static str {
-    match end {
-        AttemptEnd::Unreachable => "Unreachable",
-        AttemptEnd::NotRun => "NotRun",
-        AttemptEnd::TurnedAway => "TurnedAway",
-        AttemptEnd::HeldBack => "HeldBack",
-        AttemptEnd::WrongInstance => "WrongInstance",
-        AttemptEnd::OtherWeights => "OtherWeights",
-        AttemptEnd::OldWeights => "OldWeights",
-        AttemptEnd::Broken => "Broken",
-        AttemptEnd::Failed => "Failed",
-        AttemptEnd::Silent => "Silent",
-        AttemptEnd::Abandoned => "Abandoned",
-        AttemptEnd::TimedOut => "TimedOut",
-    }
-}
--- a/crates/topazmount/src/fleet/exchange/relay.rs
+++ b/crates/topazmount/src/fleet/exchange/relay.rs
@@ -90,7 +90,7 @@
         let version = self.shared.dialect.event_weights_version(event);
         if let (Some(model), Some(version)) = (&self.metadata.model, version) {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().saw_version(choice, model, version);
+            knowledge.balancer().record_version(choice, model, version);
         }
     }
 
--- a/crates/topazmount/src/fleet/exchange/responses.rs
+++ b/crates/topazmount/src/fleet/exchange/responses.rs
@@ -61,8 +61,9 @@
             return Some(default_wait);
         }
         let now = self.shared.clock.now();
-        let request = ChoiceRequest { exclude: &[], held_to: None, ..self.choice_request(plan) };
-        let backoff_wait = self.shared.knowledge.lock().unwrap().retry_after_rest(&request, now);
+        let request = ChoiceRequest { tried: &[], pinned_to: None, ..self.choice_request(plan) };
+        let backoff_wait =
+            self.shared.knowledge.lock().unwrap().retry_after_pushback(&request, now);
         Some(backoff_wait.unwrap_or(default_wait))
     }
 
--- a/crates/topazmount/src/fleet/exchange/resume.rs
+++ b/crates/topazmount/src/fleet/exchange/resume.rs
@@ -3,7 +3,6 @@
 //! A stalled replica may be lost, or busy with a long prompt or a load of weights. It is dropped only
 //! once another replica has accepted the stream.
 
-use super::record::attempt_end_label;
 use super::{
     AttemptResult, ClientProgress, Exchange, InFlight, StreamEnd, StreamStart, with_timeout,
 };
@@ -94,7 +93,7 @@
             Handover::StalledResumed(stalled) => Resumed::SameReplica(stalled),
             Handover::Refused(stalled, end) => {
                 self.record_failure(&in_flight, end);
-                self.log_attempt(&in_flight.choice, attempt_end_label(end));
+                self.log_attempt(&in_flight.choice, end.name());
                 plan.end(end);
                 Resumed::SameReplica(stalled)
             }
--- a/crates/topazmount/src/fleet/gateway.rs
+++ b/crates/topazmount/src/fleet/gateway.rs
@@ -21,8 +21,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use topazmount_control::{CrashNotes, FleetView, GatewayReport, Seen};
-use topazmount_gateway::{HttpLimits, Knowledge};
+use topazmount_control::{CrashReport, FleetView, GatewayReport, SeenVersions};
+use topazmount_gateway::{GatewayState, HttpLimits};
 use topazmount_types::{ErrorKind, Instance, Time};
 use topazmount_wire::ClusterKey;
 
@@ -46,7 +46,7 @@
 pub(super) struct SharedState {
     pub(super) clock: Clock,
     pub(super) dialect: Arc<dyn Dialect>,
-    pub(super) knowledge: Mutex<Knowledge>,
+    pub(super) knowledge: Mutex<GatewayState>,
     pub(super) event_log: RateLimitedLog,
     pub(super) metrics: Metrics,
     pub(super) peers: Arc<Peers>,
@@ -83,7 +83,7 @@
         let peers = Peers::bind(clients, settings.peer_port, key.clone()).await;
         let peers = Arc::new(peers.wrap_err("binding the socket for messages between gateways")?);
         let mut knowledge =
-            Knowledge::new(&settings.zone, settings.gateway_settings(), rand::random());
+            GatewayState::new(&settings.zone, settings.gateway_settings(), rand::random());
         settings.load_policies(knowledge.policies())?;
         knowledge.set_own_address(peers.own_address());
         let (report_sender, report_requests) = async_channel::bounded(1);
@@ -186,7 +186,7 @@
         let open = self.open_requests.load(Ordering::SeqCst);
         {
             let mut knowledge = self.knowledge.lock().unwrap();
-            let seen = knowledge.seen();
+            let seen = knowledge.seen_versions();
             self.metrics.set_gauge("configuration_version", seen.document as i64);
             self.metrics.set_gauge("registry_revision", seen.revision as i64);
             for (name, counters) in knowledge.policies().report() {
@@ -257,7 +257,8 @@
     /// Sends the replica limits that this gateway grants to gateways that have just been listed.
     fn send_limits_to_new_gateways(&self) {
         let now = self.shared.clock.now();
-        let (new_gateways, limits) = self.shared.knowledge.lock().unwrap().news_for_newcomers(now);
+        let (new_gateways, limits) =
+            self.shared.knowledge.lock().unwrap().limit_updates_for_new_gateways(now);
         for update in limits {
             self.shared.peers.send_limit_update(new_gateways.clone(), update);
         }
@@ -265,13 +266,13 @@
 }
 
 impl WatchHandler for GatewayWatch {
-    fn watch_state(&mut self) -> (Seen, Option<GatewayReport>) {
+    fn watch_state(&mut self) -> (SeenVersions, Option<GatewayReport>) {
         let is_ready = self.shared.is_ready();
         let report = GatewayReport { is_ready, ..self.report.clone() };
-        (self.shared.knowledge.lock().unwrap().seen(), Some(report))
+        (self.shared.knowledge.lock().unwrap().seen_versions(), Some(report))
     }
 
-    fn crash_notes(&mut self) -> CrashNotes {
+    fn crash_notes(&mut self) -> CrashReport {
         let now = self.shared.clock.now();
         self.shared.knowledge.lock().unwrap().crashes().notes(now)
     }
--- a/crates/topazmount/src/fleet/metrics.rs
+++ b/crates/topazmount/src/fleet/metrics.rs
@@ -14,7 +14,8 @@
 /// Path at which metrics are served.
 pub const METRICS_PATH: &str = "/metrics";
 /// Upper bounds of latency buckets, in seconds.
-const LATENCY_BUCKETS_S: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
+const LATENCY_BUCKETS_S: [f64; 12] =
+    [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
 
 /// Metrics of a process. All names start with `topazmount_`.
 pub struct Metrics {
--- a/crates/topazmount/src/fleet/orders.rs
+++ b/crates/topazmount/src/fleet/orders.rs
@@ -10,7 +10,7 @@
 use eyre::Result;
 use std::sync::Arc;
 use std::time::Duration;
-use topazmount_control::{FleetAction, FleetRequest, OrderEnd, OrderReport, Request};
+use topazmount_control::{ActionReport, FleetAction, FleetRequest, OrderOutcome, Request};
 use topazmount_types::Start;
 
 /// Time limit for a call to a replica and for reporting its outcome.
@@ -37,7 +37,7 @@
         let sender = sender.clone();
         let task = async move {
             for report in sender.execute(action).await {
-                let request = Request::Fleet(FleetRequest::OrderEnded(report));
+                let request = Request::Fleet(FleetRequest::ActionEnded(report));
                 let _ = sender.member.ask(request, CALL_TIMEOUT).await;
             }
         };
@@ -47,7 +47,7 @@
 
 impl OrderSender {
     /// Executes an action and returns the reports to the member, in order.
-    async fn execute(&self, action: FleetAction) -> Vec<OrderReport> {
+    async fn execute(&self, action: FleetAction) -> Vec<ActionReport> {
         match action {
             FleetAction::Order(order) => {
                 let response =
@@ -55,7 +55,7 @@
                 let pushback = self.pushback_report(&response, &order.instance, order.start);
                 let end = match &response {
                     Ok(response) => self.dialect.order_outcome(response.head.status),
-                    Err(_) => OrderEnd::Unknown,
+                    Err(_) => OrderOutcome::Unknown,
                 };
                 log::info!(
                     "weights: event=order instance={} start={} model={} version={} fence={} sequence={} end={}",
@@ -65,12 +65,12 @@
                     order.version,
                     order.fence,
                     order.expected_sequence,
-                    order_end_label(end)
+                    end.name()
                 );
-                let outcome = OrderReport::Order(order.instance, order.start, end);
+                let outcome = ActionReport::Order(order.instance, order.start, end);
                 pushback.into_iter().chain([outcome]).collect()
             }
-            FleetAction::Question { instance, start, address } => {
+            FleetAction::Query { instance, start, address } => {
                 let response = send(&address, self.dialect.report_call()).await;
                 let pushback = self.pushback_report(&response, &instance, start);
                 let is_ok = |response: &ClientAnswer| response.head.status == 200;
@@ -79,7 +79,7 @@
                 if body.is_some() && report.is_none() {
                     self.external_log.record("report_foreign", &instance, "unreadable");
                 }
-                let outcome = OrderReport::Question(instance, report);
+                let outcome = ActionReport::Query(instance, report);
                 pushback.into_iter().chain([outcome]).collect()
             }
         }
@@ -91,17 +91,17 @@
         response: &Result<ClientAnswer>,
         instance: &str,
         start: Start,
-    ) -> Option<OrderReport> {
+    ) -> Option<ActionReport> {
         let pushback = self.dialect.response_metadata(&response.as_ref().ok()?.head).pushback;
-        if !pushback.asks() {
+        if !pushback.is_requested() {
             return None;
         }
         log::info!(
             "weights: event=pushback instance={instance} start={start} rest_ms={} leaving={}",
-            pushback.rest.map_or_else(|| "none".to_owned(), |rest| rest.as_millis().to_string()),
+            pushback.backoff.map_or_else(|| "none".to_owned(), |rest| rest.as_millis().to_string()),
             pushback.is_leaving
         );
-        Some(OrderReport::Pushback(instance.to_owned(), start, pushback))
+        Some(ActionReport::Pushback(instance.to_owned(), start, pushback))
     }
 }
 
@@ -109,15 +109,3 @@
 async fn send(address: &str, request: HttpRequest) -> Result<ClientAnswer> {
     HttpClient::new(address)?.call(request, MAX_RESPONSE_BYTES, CALL_TIMEOUT).await
 }
-
-/// Label of an order's end in logs.
-fn order_end_label(end: OrderEnd) -> &'static str {
-    match end {
-        OrderEnd::Accepted => "Accepted",
-        OrderEnd::Holds => "Holds",
-        OrderEnd::Conflict => "Conflict",
-        OrderEnd::Fenced => "Fenced",
-        OrderEnd::Refused => "Refused",
-        OrderEnd::Unknown => "Unknown",
-    }
-}
--- a/crates/topazmount/src/fleet/peers.rs
+++ b/crates/topazmount/src/fleet/peers.rs
@@ -9,7 +9,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use topazmount_gateway::{ChoiceQuestion, GrantAnswer, LimitNews, LoadNews, Offer, StripeId};
+use topazmount_gateway::{
+    GrantResponse, LimitUpdate, LoadUpdate, PlacementOffer, PlacementRequest, StripeId,
+};
 use topazmount_types::Digest;
 use topazmount_wire::{ClusterKey, decode_payload, encode_datagram, open_datagram, seal_datagram};
 
@@ -23,34 +25,34 @@
 pub enum GatewayMessage {
     /// The sender's load at a replica.
     #[serde(rename = "Load")]
-    LoadUpdate(LoadNews),
+    LoadUpdate(LoadUpdate),
     /// Asks a coordinator for a replica; the number identifies the request.
     #[serde(rename = "Question")]
-    ChoiceRequest(u64, ChoiceQuestion),
+    PlacementRequest(u64, PlacementRequest),
     /// Response to the choice request with this number; `None` if no replica is available.
     #[serde(rename = "Answer")]
-    ChoiceResponse(u64, Option<Offer>),
+    PlacementResponse(u64, Option<PlacementOffer>),
     /// Asks for units of a stripe of a tenant's limit.
     #[serde(rename = "Grant")]
     GrantRequest(u64, StripeId, u32),
     /// Response to a grant request or a send grant request.
     #[serde(rename = "Granted")]
-    GrantResponse(u64, GrantAnswer),
+    GrantResponse(u64, GrantResponse),
     /// Returns units granted for a request that has not run.
     #[serde(rename = "GiveBack")]
     UnitsReturned(StripeId, u32),
     /// A replica's limit as known to the sender.
     #[serde(rename = "Limit")]
-    LimitUpdate(LimitNews),
+    LimitUpdate(LimitUpdate),
     /// Asks for permission to send one request to a replica with a limit.
     #[serde(rename = "GrantSend")]
-    SendGrantRequest(u64, LimitNews),
+    SendGrantRequest(u64, LimitUpdate),
 }
 
 /// Response to a pending request.
 enum Response {
-    Choice(Option<Offer>),
-    Grant(GrantAnswer),
+    Choice(Option<PlacementOffer>),
+    Grant(GrantResponse),
 }
 
 /// Socket for messages to and from other gateways, with the requests that wait for responses.
@@ -109,9 +111,9 @@
     }
 
     /// Queues a load update, if there is one. It is dropped if the queue is full.
-    pub(super) fn send_load_update(&self, update: Option<(Vec<SocketAddr>, LoadNews)>) {
+    pub(super) fn send_load_update(&self, update: Option<(Vec<SocketAddr>, LoadUpdate)>) {
         let Some((to, update)) = update else { return };
-        self.send(to, GatewayMessage::LoadUpdate(LoadNews { node: self.node, ..update }));
+        self.send(to, GatewayMessage::LoadUpdate(LoadUpdate { node: self.node, ..update }));
     }
 
     fn send(&self, to: Vec<SocketAddr>, message: GatewayMessage) {
@@ -124,13 +126,13 @@
     pub(super) async fn request_choice(
         &self,
         coordinator: SocketAddr,
-        request: ChoiceQuestion,
+        request: PlacementRequest,
         timeout: Duration,
-    ) -> Option<Option<Offer>> {
+    ) -> Option<Option<PlacementOffer>> {
         match self
             .request(
                 coordinator,
-                |request_id| GatewayMessage::ChoiceRequest(request_id, request),
+                |request_id| GatewayMessage::PlacementRequest(request_id, request),
                 timeout,
             )
             .await
@@ -147,7 +149,7 @@
         stripe: StripeId,
         amount: u32,
         timeout: Duration,
-    ) -> Option<GrantAnswer> {
+    ) -> Option<GrantResponse> {
         match self
             .request(
                 granter,
@@ -166,9 +168,9 @@
     pub(super) async fn request_send_grant(
         &self,
         granter: SocketAddr,
-        update: LimitNews,
+        update: LimitUpdate,
         timeout: Duration,
-    ) -> Option<GrantAnswer> {
+    ) -> Option<GrantResponse> {
         match self
             .request(
                 granter,
@@ -183,7 +185,7 @@
     }
 
     /// Queues an update of a replica's limit.
-    pub(super) fn send_limit_update(&self, to: Vec<SocketAddr>, update: LimitNews) {
+    pub(super) fn send_limit_update(&self, to: Vec<SocketAddr>, update: LimitUpdate) {
         self.send(to, GatewayMessage::LimitUpdate(update));
     }
 
@@ -240,14 +242,14 @@
         let now = shared.clock.now();
         match message {
             Some(GatewayMessage::LoadUpdate(update)) => {
-                shared.knowledge.lock().unwrap().balancer().apply_news(&update, now);
+                shared.knowledge.lock().unwrap().balancer().apply_load_update(&update, now);
             }
-            Some(GatewayMessage::ChoiceRequest(request_id, request)) => {
+            Some(GatewayMessage::PlacementRequest(request_id, request)) => {
                 shared.metrics.count_event("question_answered");
-                let offer = shared.knowledge.lock().unwrap().answer(&request, now);
-                peers.send(vec![sender], GatewayMessage::ChoiceResponse(request_id, offer));
+                let offer = shared.knowledge.lock().unwrap().place(&request, now);
+                peers.send(vec![sender], GatewayMessage::PlacementResponse(request_id, offer));
             }
-            Some(GatewayMessage::ChoiceResponse(request_id, offer)) => {
+            Some(GatewayMessage::PlacementResponse(request_id, offer)) => {
                 peers.complete(request_id, Response::Choice(offer))
             }
             Some(GatewayMessage::GrantRequest(request_id, stripe, amount)) => {
@@ -259,10 +261,10 @@
                 peers.complete(request_id, Response::Grant(response));
             }
             Some(GatewayMessage::UnitsReturned(stripe, amount)) => {
-                shared.knowledge.lock().unwrap().give_back(stripe, amount, now);
+                shared.knowledge.lock().unwrap().return_units(stripe, amount, now);
             }
             Some(GatewayMessage::LimitUpdate(update)) => {
-                let to = shared.knowledge.lock().unwrap().told_limit(&update, now);
+                let to = shared.knowledge.lock().unwrap().apply_limit_update(&update, now);
                 peers.send_limit_update(to, update);
             }
             Some(GatewayMessage::SendGrantRequest(request_id, update)) => {
@@ -276,19 +278,19 @@
 }
 
 /// Event in metrics for a granter's response about a tenant's limit.
-fn grant_event(response: GrantAnswer) -> &'static str {
+fn grant_event(response: GrantResponse) -> &'static str {
     match response {
-        GrantAnswer::Granted => "grant_given",
-        GrantAnswer::Over(_) => "grant_refused",
-        GrantAnswer::NotHolder => "grant_not_held",
+        GrantResponse::Granted => "grant_given",
+        GrantResponse::LimitExceeded(_) => "grant_refused",
+        GrantResponse::NotGranter => "grant_not_held",
     }
 }
 
 /// Event in metrics for a granter's response about a replica's limit.
-pub(super) fn send_grant_event(response: GrantAnswer) -> &'static str {
+pub(super) fn send_grant_event(response: GrantResponse) -> &'static str {
     match response {
-        GrantAnswer::Granted => "send_granted",
-        GrantAnswer::Over(_) => "send_refused",
-        GrantAnswer::NotHolder => "send_not_held",
+        GrantResponse::Granted => "send_granted",
+        GrantResponse::LimitExceeded(_) => "send_refused",
+        GrantResponse::NotGranter => "send_not_held",
     }
 }
--- a/crates/topazmount/src/fleet/pool.rs
+++ b/crates/topazmount/src/fleet/pool.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::time::Duration;
-use topazmount_gateway::{AnswerEnd, IdleConnection};
+use topazmount_gateway::{IdleConnection, ResponseEnd};
 use topazmount_types::Time;
 
 /// Minimum time between two sweeps that close connections which were idle too long.
@@ -37,12 +37,12 @@
     }
 
     /// State of the connection after the body was read.
-    pub(super) fn response_end(&self, wire: &Wire, is_request_sent: bool) -> AnswerEnd {
-        AnswerEnd {
+    pub(super) fn response_end(&self, wire: &Wire, is_request_sent: bool) -> ResponseEnd {
+        ResponseEnd {
             is_request_sent,
             is_framed: self.is_framed,
             closes: self.closes || wire.has_ended(),
-            has_more: !wire.buffered().is_empty(),
+            has_extra_bytes: !wire.buffered().is_empty(),
         }
     }
 }
@@ -104,8 +104,10 @@
                 let mut state = self.state.lock().unwrap();
                 let connections = state.by_replica.get_mut(incarnation)?;
                 let last = connections.last()?;
-                let connection =
-                    IdleConnection { idle: now.since(last.idle_since), announced: last.announced };
+                let connection = IdleConnection {
+                    idle: now.since(last.idle_since),
+                    announced_timeout: last.announced,
+                };
                 if !may_use(connection) {
                     return None;
                 }
--- a/crates/topazmount/src/fleet/replica_changes.rs
+++ b/crates/topazmount/src/fleet/replica_changes.rs
@@ -1,28 +1,28 @@
 //! Reacts to changes of what is known about a replica.
 
 use super::gateway::SharedState;
-use topazmount_gateway::Change;
+use topazmount_gateway::ReplicaChange;
 
 impl SharedState {
     /// Logs a change and closes the pooled connections to an ended incarnation. `source` names where the
     /// change was reported.
-    pub(super) fn handle_change(&self, change: &Change, source: &str) {
+    pub(super) fn handle_change(&self, change: &ReplicaChange, source: &str) {
         match change {
-            Change::Replaced { earlier, start } => {
-                self.pool.close(&earlier.incarnation_name());
+            ReplicaChange::Replaced { previous, start } => {
+                self.pool.close(&previous.incarnation_name());
                 self.metrics.count_event("incarnation_replaced");
                 self.event_log.info(|| {
-                    let (id, was) = (&earlier.id, earlier.start);
+                    let (id, was) = (&previous.id, previous.start);
                     format!("gateway: event=incarnation_replaced id={id} was={was} is={start}")
                 });
             }
-            Change::WentBack { id, start, model, before, said } => {
+            ReplicaChange::Downgraded { id, start, model, recorded, reported } => {
                 self.metrics.count_event("version_went_back");
                 self.event_log.info(|| {
                     format!(
-                        "gateway: event=version_went_back id={id} start={start} model={model} before={before} \
+                        "gateway: event=version_went_back id={id} start={start} model={model} before={recorded} \
                          said={} source={source}",
-                        said.unwrap_or(0)
+                        reported.unwrap_or(0)
                     )
                 });
             }
--- a/crates/topazmount/src/fleet/settings.rs
+++ b/crates/topazmount/src/fleet/settings.rs
@@ -101,9 +101,9 @@
     fn default() -> Self {
         let defaults = ConnectionSettings::default();
         ConnectionPoolSettings {
-            keep: defaults.is_on,
-            once_idle_ms: defaults.once_idle.as_millis() as u64,
-            most_idle_ms: defaults.most_idle.as_millis() as u64,
+            keep: defaults.is_enabled,
+            once_idle_ms: defaults.max_idle_non_retryable.as_millis() as u64,
+            most_idle_ms: defaults.max_idle.as_millis() as u64,
         }
     }
 }
@@ -119,7 +119,7 @@
 
 impl Default for CacheSettings {
     fn default() -> Self {
-        let surely_kept = GatewaySettings::default().surely_kept;
+        let surely_kept = GatewaySettings::default().reliable_cache_age;
         CacheSettings { surely_kept_ms: surely_kept.as_millis() as u64 }
     }
 }
@@ -138,8 +138,8 @@
     fn default() -> Self {
         let defaults = PushbackSettings::default();
         PushbackLimits {
-            longest_rest_s: defaults.longest_rest.as_secs_f64(),
-            longest_leave_s: defaults.longest_leave.as_secs_f64(),
+            longest_rest_s: defaults.max_backoff.as_secs_f64(),
+            longest_leave_s: defaults.max_leaving.as_secs_f64(),
         }
     }
 }
@@ -160,9 +160,9 @@
     fn default() -> Self {
         let defaults = RolloutSettings::default();
         RolloutLimits {
-            first_load_ms: defaults.first_load.as_millis() as u64,
-            usually_loading: defaults.usually_loading,
-            least_serving: defaults.least_serving,
+            first_load_ms: defaults.initial_load_time.as_millis() as u64,
+            usually_loading: defaults.usual_loading_share,
+            least_serving: defaults.min_serving_share,
         }
     }
 }
@@ -326,18 +326,18 @@
         let bounds = &self.bounds;
         let revocation = Duration::from_millis(bounds.revocation_ms);
         GatewaySettings {
-            revocation: (!revocation.is_zero()).then_some(revocation),
+            max_revocation_delay: (!revocation.is_zero()).then_some(revocation),
             budget: BudgetSettings {
                 ratio: bounds.retry_ratio,
                 slack: bounds.retry_slack,
                 window: Duration::from_secs_f64(bounds.retry_window_s),
             },
             connections: ConnectionSettings {
-                is_on: self.connections.keep,
-                once_idle: Duration::from_millis(self.connections.once_idle_ms),
-                most_idle: Duration::from_millis(self.connections.most_idle_ms),
+                is_enabled: self.connections.keep,
+                max_idle_non_retryable: Duration::from_millis(self.connections.once_idle_ms),
+                max_idle: Duration::from_millis(self.connections.most_idle_ms),
             },
-            surely_kept: Duration::from_millis(self.caches.surely_kept_ms),
+            reliable_cache_age: Duration::from_millis(self.caches.surely_kept_ms),
             quota: QuotaSettings {
                 window: Duration::from_secs_f64(bounds.quota_window_s),
                 overrun: bounds.quota_overrun,
@@ -351,8 +351,8 @@
     /// Upper bounds on pushback, the same for all kinds of processes.
     pub fn pushback_settings(&self) -> PushbackSettings {
         PushbackSettings {
-            longest_rest: Duration::from_secs_f64(self.pushback.longest_rest_s),
-            longest_leave: Duration::from_secs_f64(self.pushback.longest_leave_s),
+            max_backoff: Duration::from_secs_f64(self.pushback.longest_rest_s),
+            max_leaving: Duration::from_secs_f64(self.pushback.longest_leave_s),
         }
     }
 
@@ -360,10 +360,10 @@
     pub fn rollout_settings(&self) -> RolloutSettings {
         RolloutSettings {
             lease: Duration::from_millis(self.bounds.lease_ms),
-            spread: Duration::from_millis(self.bounds.spread_ms),
-            first_load: Duration::from_millis(self.rollout.first_load_ms),
-            usually_loading: self.rollout.usually_loading,
-            least_serving: self.rollout.least_serving,
+            deadline: Duration::from_millis(self.bounds.spread_ms),
+            initial_load_time: Duration::from_millis(self.rollout.first_load_ms),
+            usual_loading_share: self.rollout.usually_loading,
+            min_serving_share: self.rollout.least_serving,
             pushback: self.pushback_settings(),
         }
     }
--- a/crates/topazmount/src/fleet/store_reader.rs
+++ b/crates/topazmount/src/fleet/store_reader.rs
@@ -8,7 +8,7 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::time::Duration;
-use topazmount_admission::{Pushback, Pushbacks};
+use topazmount_admission::{Pushback, PushbackRecords};
 use topazmount_gateway::StoreKey;
 
 /// How often the list of stores is checked.
@@ -51,17 +51,17 @@
         Err(error) => return log::error!("gateway: event=store_refused error={error:#}"),
     };
     let name = client.address().to_string();
-    let mut pushbacks = Pushbacks::default();
+    let mut pushbacks = PushbackRecords::default();
     loop {
-        pushbacks.set(shared.knowledge.lock().unwrap().settings().pushback);
-        if !pushbacks.may_call(&name, shared.clock.now()) {
+        pushbacks.set_settings(shared.knowledge.lock().unwrap().settings().pushback);
+        if !pushbacks.is_available(&name, shared.clock.now()) {
             Timer::after(RETRY_DELAY).await;
             continue;
         }
         let position = shared.knowledge.lock().unwrap().balancer().stores().position(key);
         let Some(position) = position else { return };
         let now = shared.clock.now();
-        let should_follow = shared.knowledge.lock().unwrap().follows_store(address, now);
+        let should_follow = shared.knowledge.lock().unwrap().should_follow_store(address, now);
         let result = match should_follow {
             true => read_page(shared, key, &mut client, &mut pushbacks, position).await,
             false => Err(eyre!("enough other gateways follow the store")),
@@ -69,7 +69,7 @@
         match result {
             Ok(()) => Timer::after(READ_INTERVAL).await,
             Err(error) => {
-                if shared.knowledge.lock().unwrap().balancer().stores().lost(key) {
+                if shared.knowledge.lock().unwrap().balancer().stores().on_unreachable(key) {
                     shared.metrics.count_event("store_lost");
                     log::info!("gateway: event=store_lost address={address} error={error:#}");
                 }
@@ -83,7 +83,7 @@
     shared: &SharedState,
     key: StoreKey,
     client: &mut HttpClient,
-    pushbacks: &mut Pushbacks,
+    pushbacks: &mut PushbackRecords,
     position: u64,
 ) -> Result<()> {
     let request = shared.dialect.store_events_call(position, HOLD_TIME);
@@ -92,9 +92,9 @@
     let pushback =
         Pushback { is_leaving: false, ..shared.dialect.response_metadata(&response.head).pushback };
     if let Some(change) =
-        pushbacks.hear(&client.address().to_string(), pushback, shared.clock.now())
+        pushbacks.record(&client.address().to_string(), pushback, shared.clock.now())
     {
-        let backoff_ms = change.rests_for.unwrap_or_default().as_millis();
+        let backoff_ms = change.backoff.unwrap_or_default().as_millis();
         log::info!(
             "gateway: event=store_pushback address={} rest_ms={backoff_ms}",
             client.address()
--- a/crates/topazmount/src/fleet/watcher.rs
+++ b/crates/topazmount/src/fleet/watcher.rs
@@ -10,8 +10,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use topazmount_control::{
-    CrashNotes, FleetRequest, FleetResponse, FleetView, GatewayReport, Request, Response, Seen,
-    WatchRequest,
+    CrashReport, FleetRequest, FleetResponse, FleetView, GatewayReport, Request, Response,
+    SeenVersions, WatchRequest,
 };
 use topazmount_types::Time;
 use topazmount_wire::ClusterKey;
@@ -37,10 +37,10 @@
 /// Supplies a watcher's reports and receives its views.
 pub trait WatchHandler: Send + 'static {
     /// Versions that have been applied, and the process's own report.
-    fn watch_state(&mut self) -> (Seen, Option<GatewayReport>);
+    fn watch_state(&mut self) -> (SeenVersions, Option<GatewayReport>);
     /// Recently seen crashes.
-    fn crash_notes(&mut self) -> CrashNotes {
-        CrashNotes::default()
+    fn crash_notes(&mut self) -> CrashReport {
+        CrashReport::default()
     }
     /// Applies a view that was requested at `requested_at`.
     fn on_view(&mut self, view: FleetView, requested_at: Time);
--- a/crates/topazmount/tests/fleet_settings.rs
+++ b/crates/topazmount/tests/fleet_settings.rs
@@ -32,21 +32,24 @@
 fn valid_settings_are_parsed() {
     let settings = FleetSettings::parse(VALID).unwrap();
     assert_eq!(settings.stop_timeout(), Duration::from_secs(8));
-    assert_eq!(settings.gateway_settings().revocation, Some(Duration::from_secs(5)));
+    assert_eq!(settings.gateway_settings().max_revocation_delay, Some(Duration::from_secs(5)));
     let peers: Vec<String> =
         settings.seed_peer_addresses().iter().map(ToString::to_string).collect();
     assert_eq!(peers, ["10.1.0.33:7340", "10.2.0.24:7340"]);
     let without_limit = VALID.replace("revocation_ms = 5000", "revocation_ms = 0");
-    assert_eq!(FleetSettings::parse(&without_limit).unwrap().gateway_settings().revocation, None);
+    assert_eq!(
+        FleetSettings::parse(&without_limit).unwrap().gateway_settings().max_revocation_delay,
+        None
+    );
 }
 
 #[test]
 fn control_and_gateways_use_the_same_pushback_limits() {
     let tables = "[pushback]\nlongest_rest_s = 5\n[rollout]\nfirst_load_ms = 700\n[[policy]]";
     let settings = FleetSettings::parse(&VALID.replace("[[policy]]", tables)).unwrap();
-    assert_eq!(settings.rollout_settings().pushback.longest_rest, Duration::from_secs(5));
+    assert_eq!(settings.rollout_settings().pushback.max_backoff, Duration::from_secs(5));
     assert_eq!(settings.rollout_settings().pushback, settings.gateway_settings().pushback);
-    assert_eq!(settings.rollout_settings().first_load, Duration::from_millis(700));
+    assert_eq!(settings.rollout_settings().initial_load_time, Duration::from_millis(700));
 }
 
 #[rstest]
--- a/crates/topazmount/tests/gateway_datagrams.rs
+++ b/crates/topazmount/tests/gateway_datagrams.rs
@@ -5,7 +5,8 @@
 use topazmount::fleet::GatewayMessage;
 use topazmount_admission::RequestLimit;
 use topazmount_gateway::{
-    ChoiceQuestion, GrantAnswer, LimitNews, LoadNews, Offer, PromptEvent, Shard, StripeId,
+    GrantResponse, LimitUpdate, LoadUpdate, PlacementOffer, PlacementRequest, PromptEvent, Shard,
+    StripeId,
 };
 use topazmount_wire::{decode_payload, encode_datagram};
 
@@ -13,7 +14,7 @@
 const RECORDED: &str = include_str!("gateway_datagrams.txt");
 
 fn load(event: PromptEvent) -> GatewayMessage {
-    GatewayMessage::LoadUpdate(LoadNews {
+    GatewayMessage::LoadUpdate(LoadUpdate {
         node: 0x0102_0304_0506_0708,
         replica: 0x1112_1314_1516_1718,
         pending_prefill: 70_000,
@@ -24,8 +25,8 @@
     })
 }
 
-fn question() -> ChoiceQuestion {
-    ChoiceQuestion {
+fn question() -> PlacementRequest {
+    PlacementRequest {
         shard: Shard { index: 3, count: 8 },
         service: "pool".to_owned(),
         tenant: 77,
@@ -34,29 +35,29 @@
         output_tokens: 200,
         model: Some("model".to_owned()),
         namespace: 9,
-        wall: Some("tenant".to_owned()),
-        exclude: vec![5, 6],
+        isolated_tenant: Some("tenant".to_owned()),
+        skipped: vec![5, 6],
     }
 }
 
-fn offer() -> Offer {
-    Offer {
+fn offer() -> PlacementOffer {
+    PlacementOffer {
         replica: 5,
         expected_prefill: 600,
         known_tokens: 2_000,
         estimate_ms: 81.5,
         policy: 1,
         home_rank: 2,
-        is_clear: true,
-        taken_share: 0.25,
+        has_empty_queue: true,
+        slot_utilization: 0.25,
         version: Some(12),
         source: Some("10.0.0.1:80".to_owned()),
         save_to: Some("10.0.0.2:80".to_owned()),
     }
 }
 
-fn limit(limit: Option<f64>) -> LimitNews {
-    LimitNews {
+fn limit(limit: Option<f64>) -> LimitUpdate {
+    LimitUpdate {
         replica: 5,
         limit: limit.map(RequestLimit::per_second),
         age: Duration::from_millis(1_250),
@@ -65,25 +66,32 @@
 
 fn samples() -> Vec<(&'static str, GatewayMessage)> {
     let stripe = StripeId { owner: 77, stripe: 2 };
-    let without = ChoiceQuestion { model: None, wall: None, exclude: Vec::new(), ..question() };
-    let bare = Offer { version: None, source: None, save_to: None, is_clear: false, ..offer() };
+    let without =
+        PlacementRequest { model: None, isolated_tenant: None, skipped: Vec::new(), ..question() };
+    let bare = PlacementOffer {
+        version: None,
+        source: None,
+        save_to: None,
+        has_empty_queue: false,
+        ..offer()
+    };
     vec![
         ("load_sent", load(PromptEvent::Sent)),
-        ("load_read", load(PromptEvent::Read)),
+        ("load_read", load(PromptEvent::Prefilled)),
         ("load_ended", load(PromptEvent::Ended)),
         ("load_failed", load(PromptEvent::Failed)),
-        ("question", GatewayMessage::ChoiceRequest(300, question())),
-        ("question_without_options", GatewayMessage::ChoiceRequest(300, without)),
-        ("answer", GatewayMessage::ChoiceResponse(300, Some(offer()))),
-        ("answer_without_options", GatewayMessage::ChoiceResponse(300, Some(bare))),
-        ("answer_none", GatewayMessage::ChoiceResponse(300, None)),
+        ("question", GatewayMessage::PlacementRequest(300, question())),
+        ("question_without_options", GatewayMessage::PlacementRequest(300, without)),
+        ("answer", GatewayMessage::PlacementResponse(300, Some(offer()))),
+        ("answer_without_options", GatewayMessage::PlacementResponse(300, Some(bare))),
+        ("answer_none", GatewayMessage::PlacementResponse(300, None)),
         ("grant", GatewayMessage::GrantRequest(301, stripe, 900)),
-        ("granted", GatewayMessage::GrantResponse(301, GrantAnswer::Granted)),
+        ("granted", GatewayMessage::GrantResponse(301, GrantResponse::Granted)),
         (
             "granted_over",
-            GatewayMessage::GrantResponse(301, GrantAnswer::Over(Duration::new(2, 500))),
+            GatewayMessage::GrantResponse(301, GrantResponse::LimitExceeded(Duration::new(2, 500))),
         ),
-        ("granted_not_holder", GatewayMessage::GrantResponse(301, GrantAnswer::NotHolder)),
+        ("granted_not_holder", GatewayMessage::GrantResponse(301, GrantResponse::NotGranter)),
         ("give_back", GatewayMessage::UnitsReturned(stripe, 900)),
         ("limit", GatewayMessage::LimitUpdate(limit(Some(2.5)))),
         ("limit_none", GatewayMessage::LimitUpdate(limit(None))),
