--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -5,8 +5,8 @@
 use topazmount_settings::{FileDelta, SourceFiles};
 use topazmount_types::{Digest, Revision, Time};
 
-/// Revisions whose deltas are kept for nodes that lag.
-const KEPT_REVISIONS: usize = 512;
+/// Changes whose deltas are kept for nodes that lag.
+const MAX_KEPT_CHANGES: usize = 512;
 
 /// One accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,14 +25,14 @@
     pub revision: Revision,
     /// When the control group accepted it.
     pub at: Time,
-    /// Names of the files that it changed.
+    /// Names of the changed files.
     pub files: Vec<String>,
 }
 
-/// What a node with an older revision needs.
+/// Update for a node with an older revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationUpdate {
-    /// Nothing: it has the newest that this member knows.
+    /// The node is up to date.
     Current,
     /// Deltas to apply in order.
     Deltas {
@@ -43,7 +43,7 @@
         /// Digest of the texts after them.
         digest: Digest,
     },
-    /// Everything.
+    /// The full configuration.
     Full {
         /// Revision.
         revision: Revision,
@@ -52,7 +52,7 @@
     },
 }
 
-/// Configuration texts and how they came about.
+/// Configuration texts and recent changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
     revision: Revision,
@@ -76,14 +76,14 @@
         &self.source
     }
 
-    /// What the log must carry for a change whose author saw `expected`. For another revision than
-    /// the newest there is nothing to carry: such a change is a resend or a conflict.
+    /// Deltas to put in the log for a change whose author saw `expected`. Empty for another
+    /// revision than the newest, since such a change is a resend or a conflict.
     pub fn deltas_for(&self, expected: Revision, next: &SourceFiles) -> Vec<FileDelta> {
         if expected == self.revision { self.source.deltas_to(next) } else { Vec::new() }
     }
 
-    /// Takes a change whose author saw `expected`; a resend of an accepted request gets the first
-    /// answer.
+    /// Applies a change whose author saw `expected`; a resend of an accepted request gets the first
+    /// result.
     ///
     /// # Errors
     /// The newest revision, when it is not the expected one.
@@ -101,14 +101,14 @@
             return Err(self.revision);
         }
         let mut next = self.source.clone();
-        // They were made from the texts of the expected revision, which these are.
+        // The deltas were made from the texts of the expected revision.
         if next.apply(&deltas).is_err() {
             return Err(self.revision);
         }
         let revision = Revision(self.revision.0 + 1);
         let digest = next.digest();
         self.changes.push_back(Change { revision, request, at, digest, deltas });
-        if self.changes.len() > KEPT_REVISIONS {
+        if self.changes.len() > MAX_KEPT_CHANGES {
             self.changes.pop_front();
         }
         self.revision = revision;
@@ -116,7 +116,7 @@
         Ok(revision)
     }
 
-    /// What a node that has `have` needs.
+    /// The update for a node at revision `have`.
     pub fn update_since(&self, have: Revision) -> ConfigurationUpdate {
         if have >= self.revision {
             return ConfigurationUpdate::Current;
--- a/crates/control/src/events.rs
+++ b/crates/control/src/events.rs
@@ -1,5 +1,4 @@
-//! What a member tells of who takes part in the group, so that logs can tell a process that was
-//! never admitted from one that was admitted late, and from one that is counted twice.
+//! Membership events for logs and metrics.
 
 use crate::protocol::JoinResponse;
 use crate::state::FeatureLevel;
@@ -8,24 +7,24 @@
     MemberId, MemberInfo, Membership, MembershipChange, ProposeError, Standing,
 };
 
-/// Why a leader proposes a change of the membership.
+/// Why a leader proposes a membership change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeReason {
-    /// A process that is no member asked to join.
+    /// A process outside the group asked to join.
     JoinRequested,
-    /// A learner of the same name never became a voter: its disk was lost in turn.
+    /// A learner of the same name never became a voter; its disk was lost as well.
     LearnerReplaced,
     /// A learner has the whole log.
     CaughtUp,
-    /// A voter does not answer, and another identity of the same name does: its disk was lost.
+    /// A voter is silent and another identity of the same name responds; its disk was lost.
     VoterReplaced,
-    /// A voter does not answer, and another member is there for its place.
+    /// A voter is silent and another member can take its place.
     SuccessorReady,
-    /// A silent voter of a group of even size, which is no safer with it.
+    /// A silent voter of a group of even size, which it does not make safer.
     SurplusVoter,
-    /// A learner that does not answer any more.
+    /// A learner does not respond any more.
     LearnerTimedOut,
-    /// All voters have answered for a while.
+    /// All voters have responded for a while.
     AllVotersResponding,
 }
 
@@ -45,30 +44,30 @@
     }
 }
 
-/// Something that a member decided or learned about who takes part.
+/// A membership event that a member decided or observed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// The membership that this member acts by has changed, committed or not.
+    /// This member's membership changed, committed or not.
     Changed {
-        /// Who takes part.
+        /// Voters and learners.
         membership: Membership,
-        /// How this member does.
+        /// This member's standing.
         standing: Standing,
     },
-    /// As leader: answered a process that asked to join.
+    /// As leader: responded to a request to join.
     JoinRequested {
         /// Identity of the process.
         id: MemberId,
         /// Its name and address.
         info: MemberInfo,
-        /// What was said.
+        /// The response.
         response: JoinResponse,
     },
-    /// Outside the group: a member was asked to take this process in.
+    /// Outside the group: sent a request to join to a member.
     JoinResponse {
-        /// Address that was asked.
+        /// Address of the member.
         member: String,
-        /// What it said; `None` where no answer came.
+        /// Its response; `None` if there was none.
         response: Option<JoinResponse>,
     },
     /// As leader: proposed a change, or could not.
@@ -77,10 +76,10 @@
         change: MembershipChange,
         /// Why.
         reason: ChangeReason,
-        /// What hindered it; the change is tried again.
+        /// Why it could not be proposed; it is tried again.
         error: Option<ProposeError>,
     },
-    /// The group agreed that all members can apply the commands of a level.
+    /// All members can apply the commands of this level.
     LevelRaised(FeatureLevel),
 }
 
@@ -111,14 +110,14 @@
                     "own={standing:?} full_size={full_size} voters={voters} learners={learners}"
                 )
             }
-            MembershipEvent::JoinRequested { id, info, response: answer } => {
-                write!(f, "id={id} address={} answer={answer}", info.address)
+            MembershipEvent::JoinRequested { id, info, response } => {
+                write!(f, "id={id} address={} answer={response}", info.address)
             }
-            MembershipEvent::JoinResponse { member, response: answer } => match answer {
-                Some(answer) => write!(f, "member={member} answer={answer}"),
+            MembershipEvent::JoinResponse { member, response } => match response {
+                Some(response) => write!(f, "member={member} answer={response}"),
                 None => write!(f, "member={member} answer=None"),
             },
-            MembershipEvent::ChangeProposed { change, reason, error: hindrance } => {
+            MembershipEvent::ChangeProposed { change, reason, error } => {
                 match change {
                     MembershipChange::AddLearner(id, info) => {
                         write!(f, "add_learner={id} address={}", info.address)?;
@@ -128,7 +127,7 @@
                     MembershipChange::Settle => write!(f, "settle")?,
                 }
                 write!(f, " reason={}", reason.name())?;
-                match hindrance {
+                match error {
                     Some(error) => write!(f, " hindered={error:?}"),
                     None => Ok(()),
                 }
@@ -137,7 +136,7 @@
     }
 }
 
-/// Members as `identity@address`, with commas between them.
+/// Members as `identity@address`, separated by commas.
 struct Members<'a, I: Iterator<Item = (&'a MemberId, &'a MemberInfo)> + Clone>(I);
 
 impl<'a, I: Iterator<Item = (&'a MemberId, &'a MemberInfo)> + Clone> fmt::Display
--- a/crates/control/src/fleet/crashes.rs
+++ b/crates/control/src/fleet/crashes.rs
@@ -1,57 +1,56 @@
-//! Requests under which replicas crash, and which of them must not be sent on.
+//! Detects requests that crash replicas, and blocks them.
 //!
-//! A crash takes all requests that run at a replica, so that one crash accuses each of them. A request is blocked
-//! once [`CRASHES_TO_BLOCK`] crashes in a row speak against it and no other request explains them.
+//! A crash ends all requests at a replica, so each of them is suspected. A request is blocked after
+//! [`CRASHES_TO_BLOCK`] consecutive crashes that no other request explains.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use topazmount_types::{ReplicaId, RequestDigest, Time};
 
-/// Crashes after which a request is blocked. One or two also meet requests that only ran beside the cause: both
-/// are tried again at the same moment.
+/// Crashes after which a request is blocked. Fewer may hit requests that merely ran beside the
+/// cause.
 pub const CRASHES_TO_BLOCK: usize = 3;
-/// How long a request is blocked at first, in which a caller that tries again and again gives up. Then one more crash
-/// blocks it again, for twice as long: a request that runs well after new weights or a repair is served again.
-const FIRST_BLOCK: Duration = Duration::from_secs(5 * 60);
-/// Longest time for which a request is blocked at once.
-const LONGEST_BLOCK: Duration = Duration::from_secs(60 * 60);
-/// Time after its last crash or block for which a request is remembered.
-const MEMORY: Duration = Duration::from_secs(10 * 60);
-/// Crashes closer to each other count as one, and a run that began less before a crash as one after it: reports
-/// of gateways take some milliseconds, and a loss of power ends all replicas within that time.
-const SAME_MOMENT: Duration = Duration::from_millis(30);
-/// Requests remembered at a time; 300 KB at most in a snapshot. A loss of 60 replicas with 16 runs each accuses 960.
-const MOST_SUSPECTS: usize = 1_024;
-/// Requests blocked at a time; the list of them is sent to each gateway when it changes, 4.4 KB at most.
-const MOST_BLOCKED: usize = 256;
-/// Crashes remembered of a request.
-const MOST_CRASHES: usize = 8;
+/// Duration of the first block. A single further crash blocks the request again, for twice as long.
+const INITIAL_BLOCK: Duration = Duration::from_secs(5 * 60);
+/// Maximum duration of a block.
+const MAX_BLOCK: Duration = Duration::from_secs(60 * 60);
+/// Time after its last crash or block for which a suspect is kept.
+const RETENTION: Duration = Duration::from_secs(10 * 60);
+/// Crashes closer together than this count as one, since power loss ends many replicas at once and
+/// gateways report with some delay.
+const SIMULTANEITY_WINDOW: Duration = Duration::from_millis(30);
+/// Maximum number of suspects; bounds the snapshot size.
+const MAX_SUSPECTS: usize = 1_024;
+/// Maximum number of blocked requests; the list is sent to each gateway when it changes.
+const MAX_BLOCKED: usize = 256;
+/// Maximum number of crashes kept per suspect.
+const MAX_CRASHES_PER_SUSPECT: usize = 8;
 
-/// A replica that crashed while it had a request.
+/// A replica that crashed while it ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
     /// The request.
     pub request: RequestDigest,
-    /// The replica, by the identifier of the life that ended.
+    /// Identifier of the replica, including its incarnation.
     pub replica: ReplicaId,
-    /// How long the replica had had the request.
+    /// How long the replica had run the request.
     pub ran_for: Duration,
     /// How long ago it crashed.
     pub age: Duration,
 }
 
-/// What a gateway saw. Sent again until it is old: each note counts once.
+/// Crashes seen by a gateway. Sent repeatedly until they are old; each record counts once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// Crashes.
     pub crashes: Vec<CrashRecord>,
-    /// Requests that were suspected and have run well since.
+    /// Suspected requests that have completed since.
     pub completed: Vec<RequestDigest>,
 }
 
 impl CrashReport {
-    /// Whether there is nothing to tell.
+    /// Whether there is nothing to report.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.completed.is_empty()
     }
@@ -62,7 +61,7 @@
 pub struct BlockedRequest {
     /// The request.
     pub request: RequestDigest,
-    /// Time from the first crash that speaks against it to the last one.
+    /// Time between the first and the last crash of the request.
     #[serde(rename = "evidence")]
     pub crash_span: Duration,
 }
@@ -76,150 +75,156 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Suspect {
-    /// In the order of time.
+    /// Sorted by time.
     crashes: Vec<Crash>,
-    /// Crashes before the request ran well; they don't count, also when they are told again.
+    /// Crashes before the request completed; they don't count, even if reported again.
     dismissed: Vec<ReplicaId>,
-    /// Times that it was blocked.
+    /// How often it was blocked.
     blocks: u32,
     blocked_until: Option<Time>,
     changed_at: Time,
 }
 
 impl Suspect {
-    /// Crashes that each came after the one before had ended: runs of one request side by side
-    /// that end together say nothing that one of them does not.
-    fn in_a_row(&self) -> Vec<&Crash> {
-        let mut row: Vec<&Crash> = Vec::new();
+    /// Crashes that each began after the previous one. Concurrent runs of a request that end
+    /// together count once.
+    fn consecutive_crashes(&self) -> Vec<&Crash> {
+        let mut consecutive: Vec<&Crash> = Vec::new();
         for crash in &self.crashes {
-            let is_next = row.last().is_none_or(|last| {
-                crash.began + SAME_MOMENT >= last.at && crash.at >= last.at + SAME_MOMENT
+            let is_next = consecutive.last().is_none_or(|last| {
+                crash.began + SIMULTANEITY_WINDOW >= last.at
+                    && crash.at >= last.at + SIMULTANEITY_WINDOW
             });
             if is_next {
-                row.push(crash);
+                consecutive.push(crash);
             }
         }
-        row
+        consecutive
     }
 
     fn was_at(&self, replica: ReplicaId) -> bool {
         self.crashes.iter().any(|crash| crash.replica == replica)
     }
 
-    fn was_at_all_of(&self, other: &Suspect) -> bool {
+    fn was_at_all_crashes_of(&self, other: &Suspect) -> bool {
         other.crashes.iter().all(|crash| self.was_at(crash.replica))
     }
 
-    fn knows(&self, replica: ReplicaId) -> bool {
+    fn has_recorded(&self, replica: ReplicaId) -> bool {
         self.was_at(replica) || self.dismissed.contains(&replica)
     }
 
     fn add(&mut self, crash: Crash) {
-        let place = self.crashes.partition_point(|known| known.at <= crash.at);
-        self.crashes.insert(place, crash);
-        if self.crashes.len() > MOST_CRASHES {
+        let position = self.crashes.partition_point(|known| known.at <= crash.at);
+        self.crashes.insert(position, crash);
+        if self.crashes.len() > MAX_CRASHES_PER_SUSPECT {
             self.crashes.remove(0);
         }
     }
 
     fn dismiss(&mut self) {
         self.dismissed.extend(self.crashes.drain(..).map(|crash| crash.replica));
-        let excess = self.dismissed.len().saturating_sub(MOST_CRASHES);
+        let excess = self.dismissed.len().saturating_sub(MAX_CRASHES_PER_SUSPECT);
         self.dismissed.drain(..excess);
     }
 
-    fn evidence(&self) -> Duration {
+    fn crash_span(&self) -> Duration {
         let (first, last) = (self.crashes.first(), self.crashes.last());
         first.zip(last).map_or(Duration::ZERO, |(first, last)| last.at.since(first.at))
     }
 
     fn is_due(&self, now: Time) -> bool {
-        let forgotten = self.blocked_until.is_none() && self.changed_at + MEMORY <= now;
+        let forgotten = self.blocked_until.is_none() && self.changed_at + RETENTION <= now;
         forgotten || self.blocked_until.is_some_and(|until| until <= now)
     }
 }
 
-/// Who is suspected and who is blocked. Invariants: a crash counts once for a request, however often and by whomever
-/// it is told; a request that ran well after its last crash is not blocked; the count of changes only rises.
+/// Suspected and blocked requests. Invariants: a crash counts once per request, however often it is
+/// reported; a request that completed after its last crash is not blocked; the blocked revision
+/// only rises.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashLedger {
     suspects: BTreeMap<RequestDigest, Suspect>,
-    /// Counts changes of what is blocked.
+    /// Revision of the set of blocked requests.
     #[serde(rename = "changes")]
     blocked_revision: u64,
 }
 
 impl CrashLedger {
-    /// Counts changes of what is blocked.
+    /// Revision of the set of blocked requests.
     pub fn blocked_revision(&self) -> u64 {
         self.blocked_revision
     }
 
-    /// Whether a request must not be sent on.
+    /// Whether a request is blocked.
     pub fn is_blocked(&self, request: RequestDigest) -> bool {
         self.suspects.get(&request).is_some_and(|suspect| suspect.blocked_until.is_some())
     }
 
-    /// All requests that must not be sent on.
+    /// All blocked requests.
     pub fn blocked(&self) -> Vec<BlockedRequest> {
-        let blocked = self.suspects.iter().filter(|(_, one)| one.blocked_until.is_some());
+        let blocked = self.suspects.iter().filter(|(_, suspect)| suspect.blocked_until.is_some());
         blocked
-            .map(|(request, one)| BlockedRequest { request: *request, crash_span: one.evidence() })
+            .map(|(request, suspect)| BlockedRequest {
+                request: *request,
+                crash_span: suspect.crash_span(),
+            })
             .collect()
     }
 
-    /// Number of requests remembered.
+    /// Number of suspects.
     pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
-    /// The part of what a gateway saw that is not known yet.
-    pub fn new_in(&self, notes: &CrashReport) -> CrashReport {
-        let is_new = |note: &&CrashRecord| {
-            let suspect = self.suspects.get(&note.request);
-            suspect.is_none_or(|suspect| !suspect.knows(note.replica))
+    /// The part of a report that is not recorded yet.
+    pub fn new_in(&self, report: &CrashReport) -> CrashReport {
+        let is_new = |crash: &&CrashRecord| {
+            let suspect = self.suspects.get(&crash.request);
+            suspect.is_none_or(|suspect| !suspect.has_recorded(crash.replica))
         };
         let is_accused = |request: &&RequestDigest| {
             self.suspects.get(request).is_some_and(|suspect| !suspect.crashes.is_empty())
         };
         CrashReport {
-            crashes: notes.crashes.iter().filter(is_new).copied().collect(),
-            completed: notes.completed.iter().filter(is_accused).copied().collect(),
+            crashes: report.crashes.iter().filter(is_new).copied().collect(),
+            completed: report.completed.iter().filter(is_accused).copied().collect(),
         }
     }
 
-    /// Takes what a gateway saw.
-    pub fn record(&mut self, now: Time, notes: &CrashReport) {
-        let news = self.new_in(notes);
-        for note in &news.crashes {
-            let at = now - note.age;
-            let began = at - note.ran_for;
-            let suspect = self.suspects.entry(note.request).or_default();
-            suspect.add(Crash { replica: note.replica, began, at });
+    /// Records a gateway's report.
+    pub fn record(&mut self, now: Time, report: &CrashReport) {
+        let new = self.new_in(report);
+        for crash in &new.crashes {
+            let at = now - crash.age;
+            let began = at - crash.ran_for;
+            let suspect = self.suspects.entry(crash.request).or_default();
+            suspect.add(Crash { replica: crash.replica, began, at });
             suspect.changed_at = suspect.changed_at.max(now);
         }
-        for request in &news.completed {
+        for request in &new.completed {
             if let Some(suspect) = self.suspects.get_mut(request) {
                 suspect.dismiss();
             }
         }
-        self.judge(now);
-        self.forget_excess();
+        self.update_blocks(now);
+        self.remove_excess();
     }
 
-    /// Whether [`CrashLedger::forget`] has something to do.
+    /// Whether [`CrashLedger::expire`] has something to do.
     pub fn has_expired(&self, now: Time) -> bool {
         self.suspects.values().any(|suspect| suspect.is_due(now))
     }
 
-    /// Ends blocks whose time is over, and forgets old suspicions.
+    /// Ends expired blocks and removes old suspects.
     pub fn expire(&mut self, now: Time) {
         for suspect in self.suspects.values_mut().filter(|suspect| suspect.is_due(now)) {
             if suspect.blocked_until.is_some() {
-                // One more crash is enough to block it again.
+                // One more crash blocks it again.
                 let kept = CRASHES_TO_BLOCK - 1;
-                let row: Vec<Crash> = suspect.in_a_row().into_iter().copied().collect();
-                suspect.crashes = row[row.len().saturating_sub(kept)..].to_vec();
+                let consecutive: Vec<Crash> =
+                    suspect.consecutive_crashes().into_iter().copied().collect();
+                suspect.crashes = consecutive[consecutive.len().saturating_sub(kept)..].to_vec();
                 suspect.blocked_until = None;
                 suspect.changed_at = now;
                 self.blocked_revision += 1;
@@ -228,20 +233,21 @@
         self.suspects.retain(|_, suspect| !suspect.is_due(now));
     }
 
-    /// Blocks whom enough crashes speak against, and lets go whom they don't any more.
-    fn judge(&mut self, now: Time) {
-        let verdicts: Vec<(RequestDigest, bool)> = self
+    /// Blocks requests with enough crashes, and unblocks those with too few.
+    fn update_blocks(&mut self, now: Time) {
+        let decisions: Vec<(RequestDigest, bool)> = self
             .suspects
             .iter()
-            .map(|(request, suspect)| (*request, self.is_guilty(*request, suspect)))
+            .map(|(request, suspect)| (*request, self.should_block(*request, suspect)))
             .collect();
-        for (request, is_guilty) in verdicts {
-            let blocked = self.suspects.values().filter(|one| one.blocked_until.is_some()).count();
+        for (request, should_block) in decisions {
+            let blocked =
+                self.suspects.values().filter(|suspect| suspect.blocked_until.is_some()).count();
             let Some(suspect) = self.suspects.get_mut(&request) else { continue };
-            match (suspect.blocked_until, is_guilty) {
-                (None, true) if blocked < MOST_BLOCKED => {
-                    let time = FIRST_BLOCK * 2u32.saturating_pow(suspect.blocks.min(8));
-                    suspect.blocked_until = Some(now + time.min(LONGEST_BLOCK));
+            match (suspect.blocked_until, should_block) {
+                (None, true) if blocked < MAX_BLOCKED => {
+                    let time = INITIAL_BLOCK * 2u32.saturating_pow(suspect.blocks.min(8));
+                    suspect.blocked_until = Some(now + time.min(MAX_BLOCK));
                     suspect.blocks += 1;
                     self.blocked_revision += 1;
                 }
@@ -255,29 +261,32 @@
         }
     }
 
-    /// Whether enough crashes speak against a request. One that was only at crashes at which another
-    /// one was too, which has been at more, is explained by that one; where two can't be told apart
-    /// the next crash decides.
-    fn is_guilty(&self, request: RequestDigest, suspect: &Suspect) -> bool {
+    /// Whether a request has enough crashes that no other request explains. A request that was
+    /// present at all of them and at more crashes explains them; if both have the same number, the
+    /// next crash decides.
+    fn should_block(&self, request: RequestDigest, suspect: &Suspect) -> bool {
         if suspect.crashes.len() < CRASHES_TO_BLOCK {
             return false;
         }
-        let count = suspect.in_a_row().len();
+        let count = suspect.consecutive_crashes().len();
         if count < CRASHES_TO_BLOCK {
             return false;
         }
         let others = self.suspects.iter().filter(|(other, _)| **other != request);
-        let mut others = others.map(|(_, other)| other).filter(|one| one.was_at_all_of(suspect));
+        let mut others =
+            others.map(|(_, other)| other).filter(|other| other.was_at_all_crashes_of(suspect));
         !others.any(|other| {
-            let other = other.in_a_row().len();
+            let other = other.consecutive_crashes().len();
             other > count || (other == count && count == CRASHES_TO_BLOCK)
         })
     }
 
-    /// Forgets those that are not blocked first, the oldest first.
-    fn forget_excess(&mut self) {
-        while self.suspects.len() > MOST_SUSPECTS {
-            let order = |(_, one): &(&RequestDigest, &Suspect)| (one.blocked_until, one.changed_at);
+    /// Removes surplus suspects: those not blocked first, oldest first.
+    fn remove_excess(&mut self) {
+        while self.suspects.len() > MAX_SUSPECTS {
+            let order = |(_, suspect): &(&RequestDigest, &Suspect)| {
+                (suspect.blocked_until, suspect.changed_at)
+            };
             let Some((request, _)) = self.suspects.iter().min_by_key(order) else { return };
             let request = *request;
             self.suspects.remove(&request);
--- a/crates/control/src/fleet/events.rs
+++ b/crates/control/src/fleet/events.rs
@@ -1,18 +1,17 @@
-//! What the leader learns of the weights at replicas, so that a log can tell which incarnation said what, and what was made
-//! of it.
+//! Events about the weights at replicas and their roll-out, for logs.
 
-use super::pace::RolloutPlan;
+use super::plan::RolloutPlan;
 use std::fmt;
 use topazmount_types::{InstanceId, Start};
 
-/// Where word of a replica's weights came from.
+/// Source of a weights report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
-    /// Its heartbeat, which may be seconds old.
+    /// A heartbeat, which may be seconds old.
     Heartbeat,
-    /// Its report, which was asked for.
+    /// The response to a query.
     Query,
-    /// Its answer to an order.
+    /// The response to an order.
     Order,
 }
 
@@ -27,14 +26,14 @@
     }
 }
 
-/// A change, or a refused change, of what the leader takes a replica to hold.
+/// How a report affected the leader's record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordChange {
-    /// The version was taken over.
+    /// The version was recorded.
     Updated,
-    /// The version is older than the one known, and was taken over.
+    /// The older version was recorded.
     Reverted,
-    /// The version is older than the one known, which was kept; the replica is asked.
+    /// The older version was not recorded; the replica is queried.
     Kept,
 }
 
@@ -49,24 +48,24 @@
     }
 }
 
-/// Word of a replica's weights that differs from what was known.
+/// A weights report that differed from the leader's record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightsEvent {
     /// Replica.
     pub instance: InstanceId,
-    /// Incarnation that said it.
+    /// Incarnation that reported.
     pub start: Start,
-    /// Number of the heartbeat, or of the orders that the report counts.
+    /// Number of the heartbeat, or of orders taken.
     pub sequence: u64,
-    /// Where it comes from.
+    /// Source of the report.
     pub source: ReportSource,
     /// Model.
     pub model: String,
-    /// Version that was known.
+    /// Recorded version before.
     pub before: Option<u32>,
-    /// Version that was said.
+    /// Reported version.
     pub reported: u32,
-    /// What was made of it.
+    /// Effect on the record.
     pub change: RecordChange,
 }
 
@@ -87,12 +86,12 @@
     }
 }
 
-/// How a service's replicas will load, where that changed.
+/// A changed roll-out plan of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutEvent {
     /// Service.
     pub service: String,
-    /// How many at a time, and how many will be late by that.
+    /// The plan.
     pub plan: RolloutPlan,
     /// Replicas that have not begun to load.
     pub remaining: usize,
@@ -100,21 +99,15 @@
 
 impl fmt::Display for RolloutEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let RolloutPlan {
-            concurrency: width,
-            paused_ahead: ahead,
-            pause,
-            load_time: load,
-            late,
-            max_unavailable: most_away,
-        } = self.plan;
+        let RolloutPlan { concurrency, paused_ahead, pause, load_time, late, max_unavailable } =
+            self.plan;
         write!(
             f,
-            "event=rollout_plan service={} left={} at_once={width} ahead={ahead} most_away={most_away} pause_ms={} load_ms={} late={late}",
+            "event=rollout_plan service={} left={} at_once={concurrency} ahead={paused_ahead} most_away={max_unavailable} pause_ms={} load_ms={} late={late}",
             self.service,
             self.remaining,
             pause.as_millis(),
-            load.as_millis()
+            load_time.as_millis()
         )
     }
 }
--- a/crates/control/src/fleet/gateways.rs
+++ b/crates/control/src/fleet/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways that a member has heard of, as a list whose changes are told once.
+//! The gateways known to a member, with a history of changes for updates.
 
 use super::protocol::{GatewayListUpdate, GatewayReport, WatchRequest};
 use std::collections::{BTreeMap, VecDeque};
@@ -6,33 +6,32 @@
 use topazmount_consensus::Term;
 use topazmount_types::Time;
 
-/// Silence after which a gateway is no longer named to clients.
+/// A gateway without a report for this time is dropped from the list.
 pub const GATEWAY_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Removed gateways that are remembered; whoever has not heard of older ones gets the whole list.
-const KEPT_REMOVALS: usize = 1_024;
-/// Time between two answers to one gateway, for each gateway that there is: news that comes within it goes out together. So
-/// a leader gives at most 1,000 answers a second, and 80 gateways hear of a change within 80 ms. Of 300 gateways and 360
-/// replicas that start within a second, a gateway was told 428 KB in 62 answers, and is told 32 KB in 14 by changes that have
-/// gathered (a group in memory, 5 s).
-const TIME_FOR_EACH: Duration = Duration::from_millis(1);
-/// Longest time between two answers.
-const LONGEST_GATHERING: Duration = Duration::from_millis(300);
+/// Removed gateways that are remembered; requesters that are further behind get the full list.
+const MAX_REMOVALS: usize = 1_024;
+/// Minimum time between two responses to one gateway, per known gateway. Changes within it are sent
+/// together, which bounds the rate of the leader's responses.
+const GATHERING_TIME_PER_GATEWAY: Duration = Duration::from_millis(1);
+/// Maximum time between two responses to one gateway.
+const MAX_GATHERING_TIME: Duration = Duration::from_millis(300);
 
 struct Entry {
     report: GatewayReport,
-    heard_at: Time,
-    /// Count at which it changed last.
+    received_at: Time,
+    /// Count of its last change.
     changed_at: u64,
-    /// When it was answered last.
-    answered_at: Time,
+    /// When the last response was sent.
+    responded_at: Time,
 }
 
-/// Who was heard of. Invariant: the count only rises, and whoever applies the changes after a count has the list.
+/// Known gateways. Invariant: the count only rises, and the changes after a count complete a list
+/// with that count.
 #[derive(Default)]
 pub(crate) struct GatewayList {
     entries: BTreeMap<String, Entry>,
     removals: VecDeque<(u64, String)>,
-    /// Changes up to this count may have been forgotten.
+    /// Changes up to this count may have been dropped.
     forgotten_to: u64,
     count: u64,
 }
@@ -47,10 +46,10 @@
         self.count
     }
 
-    /// Takes what a gateway reports of itself.
-    pub(crate) fn heard(&mut self, now: Time, report: &GatewayReport) {
+    /// Records a gateway's report.
+    pub(crate) fn on_report(&mut self, now: Time, report: &GatewayReport) {
         if let Some(entry) = self.entries.get_mut(&report.address) {
-            entry.heard_at = now;
+            entry.received_at = now;
             if entry.report != *report {
                 self.count += 1;
                 entry.report = report.clone();
@@ -61,16 +60,16 @@
         self.count += 1;
         let entry = Entry {
             report: report.clone(),
-            heard_at: now,
+            received_at: now,
             changed_at: self.count,
-            answered_at: Time::ZERO,
+            responded_at: Time::ZERO,
         };
         self.entries.insert(report.address.clone(), entry);
     }
 
-    /// Forgets gateways that fell silent.
-    pub(crate) fn forget(&mut self, now: Time) {
-        let is_silent = |entry: &Entry| now >= entry.heard_at + GATEWAY_TIMEOUT;
+    /// Removes gateways that timed out.
+    pub(crate) fn expire(&mut self, now: Time) {
+        let is_silent = |entry: &Entry| now >= entry.received_at + GATEWAY_TIMEOUT;
         let silent = self.entries.iter().filter(|(_, entry)| is_silent(entry));
         let silent: Vec<String> = silent.map(|(address, _)| address.clone()).collect();
         for address in silent {
@@ -78,30 +77,30 @@
             self.count += 1;
             self.removals.push_back((self.count, address));
         }
-        while self.removals.len() > KEPT_REMOVALS {
+        while self.removals.len() > MAX_REMOVALS {
             if let Some((count, _)) = self.removals.pop_front() {
                 self.forgotten_to = count;
             }
         }
     }
 
-    /// When news may go to a requester that asks now: not before what comes after its last answer has gathered.
-    pub(crate) fn news_from(&self, request: &WatchRequest) -> Time {
-        let gathering = (TIME_FOR_EACH * self.len() as u32).min(LONGEST_GATHERING);
-        let entry = request.gateway.as_ref().and_then(|one| self.entries.get(&one.address));
-        entry.map_or(Time::ZERO, |entry| entry.answered_at + gathering)
+    /// Earliest time of the next update for a requester, which lets changes gather.
+    pub(crate) fn update_from(&self, request: &WatchRequest) -> Time {
+        let gathering = (GATHERING_TIME_PER_GATEWAY * self.len() as u32).min(MAX_GATHERING_TIME);
+        let entry = request.gateway.as_ref().and_then(|report| self.entries.get(&report.address));
+        entry.map_or(Time::ZERO, |entry| entry.responded_at + gathering)
     }
 
-    /// Notes that a requester is answered.
-    pub(crate) fn answered(&mut self, request: &WatchRequest, now: Time) {
+    /// Records that a response was sent.
+    pub(crate) fn on_response_sent(&mut self, request: &WatchRequest, now: Time) {
         let address = request.gateway.as_ref().map(|report| &report.address);
         if let Some(entry) = address.and_then(|address| self.entries.get_mut(address)) {
-            entry.answered_at = now;
+            entry.responded_at = now;
         }
     }
 
-    /// What changed after what a requester has seen; `None` where nothing did.
-    pub(crate) fn news(&self, term: Term, seen: (Term, u64)) -> Option<GatewayListUpdate> {
+    /// Changes after those that a requester has seen; `None` if there are none.
+    pub(crate) fn update_since(&self, term: Term, seen: (Term, u64)) -> Option<GatewayListUpdate> {
         let count = (term, self.count);
         if seen == count {
             return None;
@@ -112,7 +111,8 @@
         let changed = changed.map(|entry| entry.report.clone()).collect();
         let is_gone = |address: &String| !self.entries.contains_key(address);
         let removed = self.removals.iter().filter(|(count, _)| !is_full && *count > since);
-        let removed = removed.map(|(_, address)| address).filter(|one| is_gone(one)).cloned();
+        let removed =
+            removed.map(|(_, address)| address).filter(|address| is_gone(address)).cloned();
         Some(GatewayListUpdate { count, is_full, changed, removed: removed.collect() })
     }
 }
--- a/crates/control/src/fleet/leader.rs
+++ b/crates/control/src/fleet/leader.rs
@@ -1,9 +1,9 @@
-//! What only the leading member keeps of the fleet, in memory.
+//! State of the fleet that only the leader keeps, in memory.
 
+use super::batches::{BatchLimiter, MAX_PER_RESPONSE};
 use super::events::{RolloutEvent, WeightsEvent};
 use super::gateways::GatewayList;
 use super::orders::{ActionReport, FleetAction};
-use super::pieces::{MOST_TOLD, PieceRate};
 use super::protocol::{FleetView, InstanceReport, LoadedModel, SeenVersions, WatchRequest};
 use super::rollout::{Rollout, RolloutSettings};
 use super::state::{FleetCommand, FleetState};
@@ -14,42 +14,41 @@
 use topazmount_consensus::Term;
 use topazmount_types::{InstanceId, Time};
 
-/// Silence after which a replica counts as gone: several heartbeats, which may be seconds late.
-const REPLICA_SILENCE: Duration = Duration::from_secs(5);
-/// Least time between two looks at all replicas: their times are counted in tenths of a second.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
-/// The same for each replica that there is. A look takes 0.4 us a replica: 3,000 of them took 6.3% of a core at a look each
-/// 20 ms and 0.9% with this (release build, 3 s of a group in memory).
-const LOOK_TIME_FOR_EACH: Duration = Duration::from_micros(50);
-/// Pause before what was proposed of weights is proposed again: time for the log, which a lost leader may cut.
-const RETIRE_PAUSE: Duration = Duration::from_millis(500);
-/// Longest time for which an answer is held.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+/// A replica without a heartbeat for this time counts as gone; heartbeats may be seconds late.
+const REPLICA_TIMEOUT: Duration = Duration::from_secs(5);
+/// Minimum time between two checks of all replicas.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The same per registered replica, which bounds the cost in a large fleet.
+const CHECK_INTERVAL_PER_REPLICA: Duration = Duration::from_micros(50);
+/// Interval at which retired weights are proposed again; a new leader may truncate the log entry.
+const RETIRE_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum time for which a watch request is held.
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
 struct Watcher {
     token: Token,
     request: WatchRequest,
-    /// From when on it is answered if there is news.
-    news_from: Time,
+    /// A response with updates is sent at this time or later.
+    update_from: Time,
     until: Time,
 }
 
-/// Soft state of the member; the parts about replicas count only while it leads.
+/// In-memory state of a member. The parts about replicas are valid only while it leads.
 #[derive(Default)]
 pub(crate) struct FleetLeader {
     settings: RolloutSettings,
     term: Option<(Term, Time)>,
-    heard: BTreeMap<InstanceId, Time>,
+    last_heartbeat: BTreeMap<InstanceId, Time>,
     gateways: GatewayList,
-    looked_at: Time,
+    checked_at: Time,
     statuses: StatusList,
-    /// Registry revision at which the statuses were refreshed last.
+    /// Registry revision of the last refresh of the statuses.
     statuses_revision: u64,
     rollout: Rollout,
-    /// When it was proposed last that older weights are over.
+    /// When retired weights were last proposed.
     retired_at: Time,
     watchers: Vec<Watcher>,
-    pieces: PieceRate,
+    batch_limiter: BatchLimiter,
 }
 
 impl FleetLeader {
@@ -57,28 +56,28 @@
         FleetLeader { settings, rollout: Rollout::new(settings), ..FleetLeader::default() }
     }
 
-    /// Takes a heartbeat of a replica.
-    pub(crate) fn heartbeat(&mut self, now: Time, report: &InstanceReport) {
-        self.heard.insert(report.instance.id.clone(), now);
-        self.rollout.heard(now, report);
+    /// Records a heartbeat of a replica.
+    pub(crate) fn on_heartbeat(&mut self, now: Time, report: &InstanceReport) {
+        self.last_heartbeat.insert(report.instance.id.clone(), now);
+        self.rollout.on_heartbeat(now, report);
     }
 
-    /// Word of weights that differed from what was known, since this was asked last.
+    /// Returns the weights reports that differed from the record since the last call.
     pub(crate) fn take_events(&mut self) -> Vec<WeightsEvent> {
         self.rollout.take_events()
     }
 
-    /// Plans of roll-outs that changed since this was asked last.
+    /// Returns the roll-out plans that changed since the last call.
     pub(crate) fn take_plans(&mut self) -> Vec<RolloutEvent> {
         self.rollout.take_plans()
     }
 
-    pub(crate) fn order_ended(&mut self, now: Time, report: ActionReport) {
-        self.rollout.ended(now, report);
+    pub(crate) fn on_action_report(&mut self, now: Time, report: ActionReport) {
+        self.rollout.on_action_report(now, report);
     }
 
-    /// Lets time pass in a term that this member leads with a lease. Returns replicas that fell
-    /// silent and what is forgotten, as commands, and actions for the shell.
+    /// Does the periodic work of a leader with a lease. Returns commands to propose, for silent
+    /// replicas, retired weights and expired crashes, and actions for the caller to perform.
     pub(crate) fn lead(
         &mut self,
         now: Time,
@@ -87,32 +86,32 @@
     ) -> (Vec<FleetCommand>, Vec<FleetAction>) {
         if self.term.is_none_or(|(known, _)| known != term) {
             self.term = Some((term, now));
-            self.heard.clear();
+            self.last_heartbeat.clear();
             self.rollout.reset(term);
             self.statuses.clear();
-            self.looked_at = Time::ZERO;
+            self.checked_at = Time::ZERO;
         }
         let Some((_, since)) = self.term else { return Default::default() };
         let replicas = state.instances().len() as u32;
-        if now < self.looked_at + LOOK_INTERVAL.max(LOOK_TIME_FOR_EACH * replicas) {
+        if now < self.checked_at + MIN_CHECK_INTERVAL.max(CHECK_INTERVAL_PER_REPLICA * replicas) {
             return Default::default();
         }
-        self.looked_at = now;
+        self.checked_at = now;
         let mut expired = Vec::new();
         for (id, instance) in state.instances() {
-            let heard = *self.heard.entry(id.clone()).or_insert(now);
-            if now >= heard.max(since) + REPLICA_SILENCE {
+            let last_heartbeat = *self.last_heartbeat.entry(id.clone()).or_insert(now);
+            if now >= last_heartbeat.max(since) + REPLICA_TIMEOUT {
                 expired.push(FleetCommand::ExpireIncarnation(id.clone(), instance.start));
             }
         }
-        // A replica that was just heard of is registered a moment later.
-        let is_known = |id: &str, heard: Time| {
-            state.instances().contains_key(id) || now < heard + REPLICA_SILENCE
+        // A replica is registered shortly after its first heartbeat.
+        let is_known = |id: &str, last_heartbeat: Time| {
+            state.instances().contains_key(id) || now < last_heartbeat + REPLICA_TIMEOUT
         };
-        self.heard.retain(|id, heard| is_known(id, *heard));
-        let heard = &self.heard;
-        self.rollout.forget(|id| heard.contains_key(id));
-        self.gateways.forget(now);
+        self.last_heartbeat.retain(|id, last_heartbeat| is_known(id, *last_heartbeat));
+        let last_heartbeat = &self.last_heartbeat;
+        self.rollout.retain_known(|id| last_heartbeat.contains_key(id));
+        self.gateways.expire(now);
         let orders_from = since + self.settings.lease;
         let (instances, weights) = (state.instances(), state.weights());
         let actions = self.rollout.step(now, orders_from, term, instances, weights);
@@ -131,51 +130,51 @@
             .refresh(state, |instance| self.rollout.status(now, instance, state.oldest_weights()));
     }
 
-    /// That a bound is over goes into the log: the next leader may have started since, and counts a bound from there.
+    /// Retires versions in the log, since a later leader counts their deadline from its own start.
     fn retire_weights(&mut self, now: Time, state: &FleetState) -> Vec<FleetCommand> {
-        if now < self.retired_at + RETIRE_PAUSE {
+        if now < self.retired_at + RETIRE_INTERVAL {
             return Vec::new();
         }
-        let over = self.rollout.to_retire(now, state.oldest_weights());
-        if !over.is_empty() {
+        let expired = self.rollout.versions_to_retire(now, state.oldest_weights());
+        if !expired.is_empty() {
             self.retired_at = now;
         }
         let retire = |(model, version)| FleetCommand::RetireWeights { model, version };
-        over.into_iter().map(retire).collect()
+        expired.into_iter().map(retire).collect()
     }
 
-    /// Notes when versions of weights were named, as a member whose state is current: whoever leads next then bars
-    /// replicas in time, neither as late as a bound after its own start nor seconds early.
-    pub(crate) fn note_weights(&mut self, now: Time, weights: &BTreeMap<String, u32>) {
-        self.rollout.note_weights(now, weights);
+    /// Records publication times on a member with current state, so that it excludes replicas on
+    /// time if it becomes the leader.
+    pub(crate) fn record_publications(&mut self, now: Time, weights: &BTreeMap<String, u32>) {
+        self.rollout.record_publications(now, weights);
     }
 
-    /// Notes that this member does not lead.
+    /// Resets the leader's state on a member that does not lead.
     pub(crate) fn follow(&mut self, now: Time) {
         if self.term.take().is_some() {
             self.rollout.reset(Term::default());
             self.statuses.clear();
         }
-        self.gateways.forget(now);
+        self.gateways.expire(now);
     }
 
-    /// Keeps a request for news; answered by [`FleetLeader::due`].
+    /// Holds a watch request until [`FleetLeader::take_due_responses`] responds to it.
     pub(crate) fn watch(&mut self, now: Time, token: Token, request: WatchRequest) {
         if let Some(report) = &request.gateway {
-            self.gateways.heard(now, report);
+            self.gateways.on_report(now, report);
         }
-        let until = now + request.wait.min(LONGEST_WAIT);
-        let news_from = self.gateways.news_from(&request);
-        self.watchers.push(Watcher { token, request, news_from, until });
+        let until = now + request.wait.min(MAX_WAIT);
+        let update_from = self.gateways.update_from(&request);
+        self.watchers.push(Watcher { token, request, update_from, until });
     }
 
-    /// Forgets a requester that is gone.
-    pub(crate) fn gone(&mut self, token: Token) {
+    /// Drops the watch requests of a disconnected client.
+    pub(crate) fn on_disconnect(&mut self, token: Token) {
         self.watchers.retain(|watcher| watcher.token != token);
     }
 
-    /// Answers those for whom there is news or whose time is over.
-    pub(crate) fn due(
+    /// Returns responses for requesters with updates or expired wait times.
+    pub(crate) fn take_due_responses(
         &mut self,
         now: Time,
         state: &FleetState,
@@ -187,43 +186,43 @@
             return Vec::new();
         }
         if self.term.is_some() && self.statuses_revision != state.revision() {
-            // A replica must not be told of without its status.
+            // A replica must not be sent without its status.
             self.refresh_statuses(now, state);
             self.statuses_revision = state.revision();
         }
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for (watcher, is_due) in std::mem::take(&mut self.watchers).into_iter().zip(is_due) {
-            let is_vouched = base.staleness.is_some();
-            let is_behind = is_due && is_vouched && self.is_behind(state, &watcher.request);
-            if !is_due || (is_behind && !self.pieces.take(now)) {
+            let can_vouch = base.staleness.is_some();
+            let is_behind = is_due && can_vouch && self.is_behind(state, &watcher.request);
+            if !is_due || (is_behind && !self.batch_limiter.try_acquire(now)) {
                 self.watchers.push(watcher);
                 continue;
             }
-            self.gateways.answered(&watcher.request, now);
-            answers.push((watcher.token, self.view(state, base, &watcher.request)));
+            self.gateways.on_response_sent(&watcher.request, now);
+            responses.push((watcher.token, self.view(state, base, &watcher.request)));
         }
-        answers
+        responses
     }
 
     fn is_due(&self, now: Time, state: &FleetState, base: &FleetView, watcher: &Watcher) -> bool {
-        // A member that can't vouch for what it knows answers at once, so that another is asked.
+        // A member with unknown staleness responds at once, so that the requester asks another one.
         let is_over = now >= watcher.until || base.staleness.is_none();
-        // What a requester lacks that is behind has come long ago: there is nothing to gather.
-        let has_gathered = || now >= watcher.news_from || self.is_behind(state, &watcher.request);
-        is_over || (self.has_news(state, &watcher.request) && has_gathered())
+        // A requester that is behind does not wait for updates to gather.
+        let has_gathered = || now >= watcher.update_from || self.is_behind(state, &watcher.request);
+        is_over || (self.has_update(state, &watcher.request) && has_gathered())
     }
 
-    /// Whether a requester lacks about as much as one answer has, or more.
+    /// Whether a requester lacks at least about one full response of changes.
     fn is_behind(&self, state: &FleetState, request: &WatchRequest) -> bool {
         let seen = &request.seen;
         let has_other_term = self.term.is_some_and(|(term, _)| seen.statuses.0 < term);
-        let lacks_many = state.revision().saturating_sub(seen.revision) >= MOST_TOLD as u64;
+        let lacks_many = state.revision().saturating_sub(seen.revision) >= MAX_PER_RESPONSE as u64;
         lacks_many || (has_other_term && self.statuses.count() > 0)
     }
 
-    /// Whether there is something that a requester should hear at once. Changes of the list of gateways wait for its next
-    /// answer where it is a gateway itself: a new one is not needed sooner, and one that is gone is passed over.
-    fn has_news(&self, state: &FleetState, request: &WatchRequest) -> bool {
+    /// Whether a requester should be updated now. A gateway gets changes of the gateway list only
+    /// with its next response.
+    fn has_update(&self, state: &FleetState, request: &WatchRequest) -> bool {
         let seen = &request.seen;
         let has_replicas = state.revision() > seen.revision
             || state.document_version() > seen.document
@@ -239,21 +238,22 @@
         let seen = &request.seen;
         let mut view = base.clone();
         let weights = state.weights().iter();
-        let named = |(model, version): (&String, &u32)| LoadedModel {
+        let loaded_model = |(model, version): (&String, &u32)| LoadedModel {
             model: model.clone(),
             version: *version,
         };
-        view.weights = weights.map(named).collect();
-        view.oldest_weights = state.oldest_weights().iter().map(named).collect();
+        view.weights = weights.map(loaded_model).collect();
+        view.oldest_weights = state.oldest_weights().iter().map(loaded_model).collect();
         view.revision = state.revision();
-        // A member that lags has nothing to tell those who are ahead of it.
+        // A requester may be ahead of a member that lags.
         if state.revision() > seen.revision {
-            let changes = state.earliest_changes(seen.revision, MOST_TOLD);
+            let changes = state.earliest_changes(seen.revision, MAX_PER_RESPONSE);
             (view.instances, view.removed) = (changes.changed, changes.removed);
             (view.is_full, view.revision) = (changes.is_full, changes.revision);
             view.has_more = changes.revision < state.revision();
         }
-        view.document = state.document().filter(|one| one.version > seen.document).cloned();
+        view.document =
+            state.document().filter(|document| document.version > seen.document).cloned();
         let crashes = state.crashes();
         if crashes.blocked_revision() > seen.blocked {
             view.blocked = Some((crashes.blocked_revision(), crashes.blocked()));
@@ -261,10 +261,10 @@
         let Some((term, _)) = self.term else { return view };
         view.gateway_count = self.gateways.len() as u32;
         if wants_statuses(seen) {
-            view.statuses = self.statuses.news(term, seen, state, &view.instances);
+            view.statuses = self.statuses.update_since(term, seen, state, &view.instances);
         }
         if request.wants_gateways {
-            view.gateways = self.gateways.news(term, seen.gateways);
+            view.gateways = self.gateways.update_since(term, seen.gateways);
         }
         view
     }
--- a/crates/control/src/fleet/mod.rs
+++ b/crates/control/src/fleet/mod.rs
@@ -1,31 +1,32 @@
 //! The fleet that gateways serve: service catalog, replicas and weights.
 //!
-//! [`FleetState`] is replicated: the newest catalog document, the registered replicas and the
-//! versions named for models, and the requests under which replicas crash. `FleetLeader` is what only the leader keeps in memory: when each
-//! replica and gateway was last heard of, who waits for news, and the roll-out of weights.
+//! [`FleetState`] is replicated: the catalog document, the registered replicas, the published
+//! weights and the requests that crash replicas. `FleetLeader` is kept in memory by the leader
+//! only: last contact with replicas and gateways, pending watch requests and the roll-out of
+//! weights.
 
-mod belief;
+mod batches;
 mod crashes;
 mod events;
 mod gateways;
 mod leader;
+mod loading_slots;
 mod orders;
-mod pace;
-mod pieces;
+mod plan;
 mod protocol;
+mod publications;
 mod rollout;
-mod schedule;
 mod state;
 mod statuses;
 mod target;
-mod turns;
+mod weights_record;
 
 pub use crashes::{BlockedRequest, CRASHES_TO_BLOCK, CrashLedger, CrashRecord, CrashReport};
 pub use events::{RecordChange, ReportSource, RolloutEvent, WeightsEvent};
 pub use gateways::GATEWAY_TIMEOUT;
 pub(crate) use leader::FleetLeader;
 pub use orders::{ActionReport, FleetAction, LoadMode, OrderOutcome, ReplicaReport, WeightsOrder};
-pub use pace::RolloutPlan;
+pub use plan::RolloutPlan;
 pub use protocol::{
     Availability, FleetRequest, FleetResponse, FleetView, GatewayListUpdate, GatewayReport,
     InstanceReport, InstanceStatus, LoadedModel, SeenVersions, WatchRequest,
--- a/crates/control/src/fleet/orders.rs
+++ b/crates/control/src/fleet/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to replicas and their ends, as the leader and its shell exchange them.
+//! Orders to replicas and their results, exchanged between the leader and its process.
 
 use super::protocol::LoadedModel;
 use serde::{Deserialize, Serialize};
@@ -9,9 +9,9 @@
 /// What happens to requests that run at a replica while it loads weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadMode {
-    /// They end first.
+    /// They finish first.
     FinishRuns,
-    /// They go on, under the new weights.
+    /// They continue with the new weights.
     KeepRuns,
 }
 
@@ -26,50 +26,51 @@
     pub model: String,
     /// Version.
     pub version: u32,
-    /// What happens to what runs there.
+    /// What happens to running requests.
     pub mode: LoadMode,
     /// Fencing token: the leader's term.
     pub fence: Term,
-    /// Orders that the replica must have taken before, so that a late copy is not carried out.
+    /// Number of orders that the replica must have taken before, so that delayed copies are
+    /// refused.
     pub expected_sequence: u64,
-    /// Incarnation that it is meant for. The replica can't check it: one that is carried out by the next incarnation is
-    /// noticed by what that one says.
+    /// Intended incarnation. The replica can't check it; if the next incarnation carries the order
+    /// out, its reports show that.
     #[serde(default)]
     pub start: Start,
 }
 
-/// Something for the leader's shell to send.
+/// Something for the leader's process to send.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetAction {
     /// Send an order.
     Order(WeightsOrder),
-    /// Ask a replica for its report.
+    /// Query a replica's state.
     #[serde(rename = "Question")]
     Query {
         /// Replica.
         instance: InstanceId,
-        /// Incarnation that is asked.
+        /// Incarnation that is queried.
         start: Start,
         /// Its address.
         address: String,
     },
 }
 
-/// How an order ended.
+/// Result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
     /// It is being carried out.
     Accepted,
-    /// It held already.
+    /// The version was already loaded.
     #[serde(rename = "Holds")]
     AlreadyLoaded,
-    /// Another order is under way, or the expected sequence does not match.
+    /// Another order is in progress, or the expected sequence does not match.
     Conflict,
-    /// A newer holder gave orders.
+    /// A leader with a higher fence gave orders.
     Fenced,
-    /// Refused for another reason, or the replica is not the one expected.
+    /// Refused for another reason, or by another replica than expected.
     Refused,
-    /// No answer: it may have been taken.
+    /// No response; the order may have been taken.
     Unknown,
 }
 
@@ -87,28 +88,28 @@
     }
 }
 
-/// What a replica reports when asked.
+/// A replica's response to a query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaReport {
-    /// Models that it holds.
+    /// Its loaded models.
     pub models: Vec<LoadedModel>,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub is_busy: bool,
     /// Orders taken.
     pub sequence: u64,
-    /// When the incarnation that reports started.
+    /// Start of the reporting incarnation.
     #[serde(default)]
     pub start: Start,
 }
 
-/// The shell's word on an action.
+/// Result of an action.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ActionReport {
-    /// An order to an incarnation ended.
+    /// Result of an order to an incarnation.
     Order(InstanceId, Start, OrderOutcome),
-    /// A question was answered, or not.
+    /// Response to a query, if there was one.
     #[serde(rename = "Question")]
     Query(InstanceId, Option<ReplicaReport>),
-    /// The answer of an incarnation to either asks something of this member; told before how the action ended.
+    /// Pushback in an incarnation's response to an order or query; reported before the result.
     Pushback(InstanceId, Start, Pushback),
 }
--- a/crates/control/src/fleet/protocol.rs
+++ b/crates/control/src/fleet/protocol.rs
@@ -1,4 +1,4 @@
-//! What gateways, replicas and operators ask the control group about the fleet.
+//! Requests and responses about the fleet, for gateways, replicas and operators.
 
 use super::crashes::{BlockedRequest, CrashReport};
 use super::orders::ActionReport;
@@ -24,44 +24,45 @@
     #[default]
     #[serde(rename = "Open")]
     Available,
-    /// Others should be preferred: it loads weights.
+    /// Others are preferred: it loads weights.
     Paused,
     /// It must not: its weights are too old.
     #[serde(rename = "Barred")]
     Excluded,
 }
 
-/// What only the leader knows of a replica.
+/// Status of a replica, known to the leader only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceStatus {
     /// Replica.
     pub id: InstanceId,
     /// Whether it should be sent requests.
     pub availability: Availability,
-    /// Models that it holds.
+    /// Its loaded models.
     pub models: Vec<LoadedModel>,
-    /// Incarnation that this is about; it says nothing of another one.
+    /// Incarnation that the status is about.
     #[serde(default)]
     pub start: Start,
-    /// When the leader last took a version of this incarnation back: its term, and how often in it. A status with a
-    /// later one replaces what is known of the models; others only raise it.
+    /// Term in which the leader last reverted a version of this incarnation, and number of reverts
+    /// in that term. A status with a later correction replaces known versions; others only raise
+    /// them.
     #[serde(default)]
     pub correction: (Term, u32),
 }
 
-/// What a replica reports of itself.
+/// A replica's heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceReport {
     /// The replica.
     pub instance: Instance,
-    /// Models that it holds; empty for services without weights.
+    /// Its loaded models; empty for services without weights.
     pub models: Vec<LoadedModel>,
-    /// Number of this heartbeat, rising within an incarnation, by which a late one is known; 0 where it has none.
+    /// Number of this heartbeat within the incarnation, to detect delayed ones; 0 if it has none.
     #[serde(default, rename = "count")]
     pub sequence: u64,
 }
 
-/// What a gateway reports of itself with each request for news.
+/// What a gateway reports of itself with each watch request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayReport {
     /// Address for clients.
@@ -74,8 +75,8 @@
     pub is_ready: bool,
 }
 
-/// What the requester has seen already. One that wants no documents, replicas or statuses says that it has seen the highest
-/// number.
+/// Version counters of what the requester has already applied. The highest value means that it
+/// wants no updates of that kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenVersions {
     /// Version of its document.
@@ -86,7 +87,7 @@
     pub statuses: (Term, u64),
     /// Term and count of the list of gateways.
     pub gateways: (Term, u64),
-    /// Count of changes of what is blocked.
+    /// Revision of the blocked requests.
     #[serde(default)]
     pub blocked: u64,
 }
@@ -94,80 +95,82 @@
 /// Changes of the list of gateways.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayListUpdate {
-    /// Term and count of the list after them.
+    /// Term and count of the list after these changes.
     pub count: (Term, u64),
-    /// Whether `changed` is the whole list.
+    /// Whether `changed` is the full list.
     pub is_full: bool,
-    /// Gateways that are new, or report something else.
+    /// Gateways that are new or have changed.
     pub changed: Vec<GatewayReport>,
-    /// Addresses of those that are gone.
+    /// Addresses of removed gateways.
     pub removed: Vec<String>,
 }
 
 impl GatewayListUpdate {
-    /// The whole list.
+    /// An update with the full list.
     pub fn full(count: (Term, u64), changed: Vec<GatewayReport>) -> Self {
         GatewayListUpdate { count, is_full: true, changed, removed: Vec::new() }
     }
 }
 
-/// A request for news.
+/// A request for updates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchRequest {
     /// The requester, if it is a gateway.
     pub gateway: Option<GatewayReport>,
-    /// What it has seen.
+    /// What it has already applied.
     pub seen: SeenVersions,
     /// Whether it wants the list of gateways; otherwise it gets their number only.
     pub wants_gateways: bool,
-    /// How long the answer may be held while there is no news.
+    /// How long the response may be held while there is no update.
     pub wait: Duration,
-    /// What the requester saw of crashes lately; only the leader takes it.
+    /// Crashes that the requester saw lately; recorded by the leader only.
     #[serde(default)]
     pub crashes: CrashReport,
 }
 
-/// News.
+/// Updates of the fleet for one requester.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetView {
-    /// How old what this member knows may be; `None` when it can't tell.
+    /// Maximum age of the member's state; `None` if unknown.
     pub staleness: Option<Duration>,
-    /// Internal address of the leader, when known.
+    /// Internal address of the leader, if known.
     pub leader: Option<String>,
     /// Internal addresses of all members.
     pub members: Vec<String>,
-    /// Newer document.
+    /// Newer document, if any.
     pub document: Option<Document>,
     /// Revision after `instances` and `removed`.
     pub revision: u64,
-    /// Whether `instances` is the whole list.
+    /// Whether `instances` is the start of the full list.
     pub is_full: bool,
     /// Changed replicas.
     pub instances: Vec<Instance>,
     /// Removed replicas.
     pub removed: Vec<RemovedInstance>,
-    /// Statuses of replicas that changed: term and count after them, and the statuses.
+    /// Changed statuses, with the term and count after them.
     pub statuses: Option<((Term, u64), Vec<InstanceStatus>)>,
-    /// Gateways, when asked for and changed.
+    /// Changes of the gateway list, if requested.
     pub gateways: Option<GatewayListUpdate>,
-    /// Number of gateways heard of; 0 where the member does not lead.
+    /// Number of known gateways; 0 if the member does not lead.
     pub gateway_count: u32,
-    /// Requests that must not be sent on, when that changed: count of changes, and all of them.
+    /// All blocked requests and their revision, if changed.
     #[serde(default)]
     pub blocked: Option<(u64, Vec<BlockedRequest>)>,
-    /// Newest version named for each model, as this member has applied it.
+    /// Newest published version for each model, as applied by this member.
     #[serde(default)]
     pub weights: Vec<LoadedModel>,
-    /// Oldest version of each model's weights that may still begin on requests, as this member has applied it.
+    /// Oldest version of each model's weights on which requests may begin, as applied by this
+    /// member.
     #[serde(default)]
     pub oldest_weights: Vec<LoadedModel>,
-    /// Whether the member knows of further changes of replicas, after `revision`.
+    /// Whether there are further changes of replicas after `revision`.
     #[serde(default)]
     pub has_more: bool,
 }
 
 impl FleetView {
-    /// Whether a leader with a lease gave it: nobody else had named another list of gateways by then.
+    /// Whether a leader with a lease sent it, so that no other member had published a gateway list
+    /// by then.
     pub fn is_leased(&self) -> bool {
         self.gateway_count > 0 && self.staleness == Some(Duration::ZERO)
     }
@@ -176,18 +179,19 @@
 /// A request about the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetRequest {
-    /// A replica's heartbeat; one that says nothing new is answered by any member in contact.
+    /// A replica's heartbeat. One that changes nothing is answered by any member in contact with
+    /// the leader.
     Heartbeat(InstanceReport),
-    /// Heartbeats that another member has answered; taken by the leader only.
+    /// Heartbeats that another member received; recorded by the leader only.
     #[serde(rename = "HeartbeatsHeard")]
     ForwardedHeartbeats(Vec<InstanceReport>),
-    /// A replica leaves; answered by the leader only. An earlier incarnation than the one known has left already.
+    /// A replica leaves; answered by the leader only. Earlier incarnations have left already.
     Depart(InstanceId, Start),
-    /// Puts a document in force; answered by the leader only.
+    /// Replaces the document; answered by the leader only.
     PutDocument(Document),
-    /// The newest document; answered by the leader only.
+    /// Reads the newest document; answered by the leader only.
     ReadDocument,
-    /// Names a version of a model's weights; answered by the leader only.
+    /// Publishes a version of a model's weights; answered by the leader only.
     #[serde(rename = "NameWeights")]
     PublishWeights {
         /// Model.
@@ -195,25 +199,25 @@
         /// Version.
         version: u32,
     },
-    /// News; answered by any member.
+    /// Requests updates; answered by any member.
     Watch(WatchRequest),
-    /// How an order or a question that the leader asked its own shell to send ended.
+    /// Result of an order or query that the leader's process performed.
     #[serde(rename = "OrderEnded")]
     ActionEnded(ActionReport),
 }
 
-/// An answer about the fleet.
+/// A response about the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetResponse {
-    /// Committed, or nothing had to be.
+    /// Committed, or already in effect.
     Done,
-    /// The heartbeat is of a replica that left or that another one replaced; nothing is changed.
+    /// The heartbeat is from a replica that left or was replaced; nothing changed.
     Superseded,
-    /// The heartbeat can't be that replica's; nothing is changed.
+    /// The heartbeat contradicts the registry; nothing changed.
     #[serde(rename = "Foreign")]
     Conflict(RegistrationConflict),
     /// The newest document.
     Document(Option<Document>),
-    /// News.
+    /// Updates.
     View(Box<FleetView>),
 }
--- a/crates/control/src/fleet/rollout.rs
+++ b/crates/control/src/fleet/rollout.rs
@@ -1,50 +1,50 @@
-//! Rolls named weights out to replicas by orders that only one holder gives.
+//! Rolls published weights out to replicas. Only the leader gives load orders.
 
-use super::belief::{Belief, REPORT_LAG, Word};
 use super::events::{ReportSource, RolloutEvent, WeightsEvent};
+use super::loading_slots::Planner;
 use super::orders::{ActionReport, FleetAction, OrderOutcome, ReplicaReport};
 use super::protocol::{Availability, InstanceReport, InstanceStatus, LoadedModel};
-use super::schedule::Schedule;
-use super::target::{OrderedBy, Phase, Target};
-use super::turns::Pace;
+use super::publications::Publications;
+use super::target::{LoadTarget, OrderedBy, Phase};
+use super::weights_record::{REPORT_LAG, ReportContext, WeightsRecord};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use topazmount_admission::{Pushback, PushbackSettings, Pushbacks};
 use topazmount_consensus::Term;
 use topazmount_types::{Instance, InstanceId, Start, Time, incarnation_name};
 
-/// Time after an accepted order before the replica is first asked how it stands.
-const FIRST_QUESTION: Duration = Duration::from_millis(800);
-/// Time between two such questions.
-const QUESTION_INTERVAL: Duration = Duration::from_millis(150);
-/// Time before the end of its bound at which a replica with an older version gets no requests, so
-/// that none waits there beyond it.
-const OVERDUE_MARGIN: Duration = Duration::from_millis(1_500);
-/// Time after which an order without an answer counts as lost.
-const ORDER_LIMIT: Duration = Duration::from_millis(1_000);
-/// Time after which a load that does not end is ordered again.
-const LOAD_LIMIT: Duration = Duration::from_secs(6);
-/// Time for which a start that was heard may lack its registration; a change of the log takes some milliseconds.
-const REGISTRATION_TIME: Duration = Duration::from_secs(1);
-/// Pause before a replica that failed an order is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(600);
+/// Delay between an accepted order and the first query of the replica's state.
+const FIRST_QUERY_DELAY: Duration = Duration::from_millis(800);
+/// Interval between these queries.
+const QUERY_INTERVAL: Duration = Duration::from_millis(150);
+/// Outdated replicas are excluded this long before the roll-out deadline, so that no request waits
+/// there beyond it.
+const EXCLUSION_MARGIN: Duration = Duration::from_millis(1_500);
+/// An order without a response counts as lost after this time.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// A load that has not ended after this time is ordered again.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(6);
+/// How long an incarnation may be unregistered after its first heartbeat.
+const REGISTRATION_GRACE: Duration = Duration::from_secs(1);
+/// Delay before a replica that failed an order is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(600);
 
-/// Bounds of the roll-out.
+/// Settings of the roll-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutSettings {
-    /// Time for which a new holder gives no orders, so that two never take turns within it.
+    /// Time for which a new leader gives no orders, so that two leaders never give orders at once.
     pub lease: Duration,
-    /// Time within which a named version must be everywhere.
+    /// Time within which published weights must be loaded everywhere.
     pub deadline: Duration,
-    /// What a load is taken to need until one was seen to end.
+    /// Assumed duration of a load until one has been observed.
     pub initial_load_time: Duration,
-    /// Share of a service's replicas that load at a time where that is enough: requests that begin on older weights are worth less, and stores
-    /// of weights are slower with more.
+    /// Share of a service's replicas that load at a time while that meets the deadline. More loads
+    /// at a time slow down the weights store.
     pub usual_loading_share: f64,
-    /// Share of a service's replicas that go on serving while others load. At the end of the bound all on older weights are barred, so that
-    /// more kept back from loading would serve for seconds and then be missed at once.
+    /// Share of a service's replicas that keep serving while others load. At the deadline all
+    /// outdated replicas are excluded at once, so the share must not be large.
     pub min_serving_share: f64,
-    /// How long what replicas ask of the holder is believed.
+    /// Limits of what replicas may ask of the leader.
     pub pushback: PushbackSettings,
 }
 
@@ -62,55 +62,56 @@
 }
 
 impl RolloutSettings {
-    /// Time after a version was named from which on requests must not be sent to older weights.
+    /// Time after a publication at which outdated replicas are excluded.
     pub fn exclude_after(&self) -> Duration {
-        self.deadline.saturating_sub(OVERDUE_MARGIN)
+        self.deadline.saturating_sub(EXCLUSION_MARGIN)
     }
 
-    /// Replicas, of so many, that load at a time where that is enough.
-    pub(super) fn usually_loading(&self, replicas: usize) -> usize {
+    /// Number of replicas that load at a time while that meets the deadline.
+    pub(super) fn usual_concurrency(&self, replicas: usize) -> usize {
         (replicas as f64 * self.usual_loading_share).ceil() as usize
     }
 
-    /// Replicas, of so many that could serve, that may be paused or loading at a time; one always may.
-    pub(super) fn most_away(&self, replicas: usize) -> usize {
+    /// Maximum number of replicas that may be paused or loading; at least one.
+    pub(super) fn max_unavailable(&self, replicas: usize) -> usize {
         let serving = (replicas as f64 * self.min_serving_share) as usize;
         replicas.saturating_sub(serving.max(1)).max(1)
     }
 }
 
-/// What the holder knows of one incarnation of a replica; a later one begins with nothing of it.
+/// What the leader knows of one incarnation of a replica.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Replica {
-    pub(super) belief: Belief,
-    pub(super) target: Option<Target>,
-    /// Orders that it has taken, as it reported since the last question.
+pub(super) struct ReplicaRecord {
+    pub(super) weights_record: WeightsRecord,
+    pub(super) target: Option<LoadTarget>,
+    /// Orders that the replica has taken, as reported since the last query.
     sequence: Option<u64>,
-    /// When the entry was made.
-    known_since: Time,
-    /// Until when it is left alone after a failure, and until when it comes after all others.
-    pub(super) rests_until: Time,
-    pub(super) yields_until: Time,
-    /// How often it failed since it last loaded.
+    created_at: Time,
+    /// No order before `retry_at`; until `low_priority_until` the replica comes after all others.
+    pub(super) retry_at: Time,
+    pub(super) low_priority_until: Time,
+    /// Failures since its last successful load.
     pub(super) failures: u32,
-    /// Whether it has seen a higher fence than this holder's, which orders nothing there again.
+    /// Whether it has accepted orders from a leader with a higher fence; this leader gives it no
+    /// more.
     pub(super) is_fenced: bool,
 }
 
-/// The roll-out as its one holder knows it. Invariants: it acts only for a leader with a lease
-/// whose predecessor's last order is at least `lease` old; it goes straight to the newest version;
-/// a bounded part of a service's replicas goes on serving while others load; what is known of an incarnation ends with it.
+/// The leader's view of the roll-out. Invariants: orders are given only by a leader with a lease,
+/// at least `lease` after its predecessor's last order; replicas go straight to the newest version;
+/// a minimum share of a service's replicas keeps serving; nothing known of an incarnation is
+/// applied to a later one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Rollout {
     pub(super) settings: RolloutSettings,
-    schedule: Schedule,
-    pub(super) pace: Pace,
-    pub(super) replicas: BTreeMap<InstanceId, Replica>,
-    /// Term in which this member holds the roll-out.
+    publications: Publications,
+    pub(super) planner: Planner,
+    pub(super) replicas: BTreeMap<InstanceId, ReplicaRecord>,
+    /// Term in which this member leads.
     term: Term,
-    /// What incarnations asked of this member, which it owes them in later terms too.
+    /// Pushback that replicas sent to this member; it holds in later terms too.
     pub(super) pushbacks: Pushbacks,
-    /// Word of weights that differed from what was known, not yet told.
+    /// Weights reports that differed from the record, not yet returned.
     events: Vec<WeightsEvent>,
 }
 
@@ -121,28 +122,29 @@
         Rollout { settings, pushbacks, ..Rollout::default() }
     }
 
-    /// Forgets everything but when versions were named, what loads took and what replicas asked as a term begins: another
-    /// member may have given orders meanwhile.
+    /// Resets the state at the start of a term, since another member may have given orders
+    /// meanwhile. Publication times, load times and pushback are kept.
     pub(crate) fn reset(&mut self, term: Term) {
-        let schedule = std::mem::take(&mut self.schedule);
+        let publications = std::mem::take(&mut self.publications);
         let pushbacks = std::mem::take(&mut self.pushbacks);
-        let pace = std::mem::take(&mut self.pace);
-        *self = Rollout { term, schedule, pace, pushbacks, ..Rollout::new(self.settings) };
+        let planner = std::mem::take(&mut self.planner);
+        *self = Rollout { term, publications, planner, pushbacks, ..Rollout::new(self.settings) };
     }
 
-    /// What gateways need to know of an incarnation; `None` where nothing was heard of its weights, so that what an
-    /// earlier holder said of it stays in force.
+    /// Status of an incarnation for gateways; `None` while its weights are unknown, so that the
+    /// status from an earlier leader stays in force.
     pub(crate) fn status(
         &self,
         now: Time,
         instance: &Instance,
         oldest: &BTreeMap<String, u32>,
     ) -> Option<InstanceStatus> {
-        let replica = self.replica_of(instance)?;
-        let belief = &replica.belief;
-        let is_overdue = belief.models().iter().any(|loaded| {
-            let due = self.schedule.due(&loaded.model, loaded.version);
-            let is_due = due.is_some_and(|named| now >= named + self.settings.exclude_after());
+        let replica = self.record_of(instance)?;
+        let weights_record = &replica.weights_record;
+        let is_overdue = weights_record.models().iter().any(|loaded| {
+            let due = self.publications.outdated_since(&loaded.model, loaded.version);
+            let is_due =
+                due.is_some_and(|published_at| now >= published_at + self.settings.exclude_after());
             is_due || oldest.get(&loaded.model).is_some_and(|oldest| loaded.version < *oldest)
         });
         let is_loading = replica.target.is_some();
@@ -154,171 +156,191 @@
         Some(InstanceStatus {
             id: instance.id.clone(),
             availability,
-            models: belief.models().to_vec(),
-            start: belief.start(),
-            correction: belief.correction(),
+            models: weights_record.models().to_vec(),
+            start: weights_record.start(),
+            correction: weights_record.correction(),
         })
     }
 
-    /// Versions whose bound is over while what the log says of the oldest ones lags behind that.
-    pub(crate) fn to_retire(
+    /// Versions whose deadline has passed and that are newer than the oldest version in the log.
+    pub(crate) fn versions_to_retire(
         &self,
         now: Time,
         oldest: &BTreeMap<String, u32>,
     ) -> Vec<(String, u32)> {
-        let over = self.schedule.named_before(now - self.settings.exclude_after());
-        let is_news = |(model, version): &(&String, u32)| {
+        let expired = self.publications.published_before(now - self.settings.exclude_after());
+        let is_newer = |(model, version): &(&String, u32)| {
             oldest.get(*model).is_none_or(|oldest| oldest < version)
         };
-        over.filter(is_news).map(|(model, version)| (model.clone(), version)).collect()
+        expired.filter(is_newer).map(|(model, version)| (model.clone(), version)).collect()
     }
 
-    /// What is known of a registered incarnation.
-    pub(super) fn replica_of(&self, instance: &Instance) -> Option<&Replica> {
+    /// The record of a registered incarnation.
+    pub(super) fn record_of(&self, instance: &Instance) -> Option<&ReplicaRecord> {
         let replica = self.replicas.get(&instance.id)?;
-        (replica.belief.start() == instance.start).then_some(replica)
+        (replica.weights_record.start() == instance.start).then_some(replica)
     }
 
-    /// The replica that word is about, with nothing of an earlier incarnation; `None` where the word itself is of an
-    /// earlier one.
-    fn replica_for(&mut self, now: Time, id: &str, start: Start) -> Option<&mut Replica> {
-        let new = || Replica { belief: Belief::new(start), known_since: now, ..Replica::default() };
+    /// The record for a reported incarnation, reset if the incarnation is new; `None` if a later
+    /// incarnation is known.
+    fn record_for(&mut self, now: Time, id: &str, start: Start) -> Option<&mut ReplicaRecord> {
+        let new = || ReplicaRecord {
+            weights_record: WeightsRecord::new(start),
+            created_at: now,
+            ..ReplicaRecord::default()
+        };
         let replica = self.replicas.entry(id.to_owned()).or_insert_with(new);
-        if start < replica.belief.start() {
+        if start < replica.weights_record.start() {
             return None;
         }
-        if start > replica.belief.start() {
+        if start > replica.weights_record.start() {
             *replica = new();
         }
         Some(replica)
     }
 
-    /// Takes what a heartbeat says of loaded weights.
-    pub(crate) fn heard(&mut self, now: Time, report: &InstanceReport) {
+    /// Records the loaded weights from a heartbeat.
+    pub(crate) fn on_heartbeat(&mut self, now: Time, report: &InstanceReport) {
         if report.models.is_empty() {
             return;
         }
         let Instance { id, start, .. } = &report.instance;
-        let word = Word {
+        let context = ReportContext {
             instance: id,
             start: *start,
-            count: report.sequence,
+            sequence: report.sequence,
             source: ReportSource::Heartbeat,
         };
-        let Some(replica) = self.replica_for(now, id, *start) else { return };
-        let events = replica.belief.heard(now, word, &report.models);
+        let Some(replica) = self.record_for(now, id, *start) else { return };
+        let events = replica.weights_record.record_unconfirmed(now, context, &report.models);
         self.events.extend(events);
     }
 
-    /// Word of weights that differed from what was known, since this was asked last.
+    /// Returns the weights reports that differed from the record since the last call.
     pub(crate) fn take_events(&mut self) -> Vec<WeightsEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Plans that changed since this was asked last.
+    /// Returns the plans that changed since the last call.
     pub(crate) fn take_plans(&mut self) -> Vec<RolloutEvent> {
-        std::mem::take(&mut self.pace.events)
+        std::mem::take(&mut self.planner.events)
     }
 
-    /// Forgets replicas that are neither registered nor about to be.
-    pub(crate) fn forget(&mut self, is_known: impl Fn(&str) -> bool) {
+    /// Drops records of unknown replicas.
+    pub(crate) fn retain_known(&mut self, is_known: impl Fn(&str) -> bool) {
         self.replicas.retain(|id, _| is_known(id));
     }
 
-    /// Takes the shell's word on an action.
-    pub(crate) fn ended(&mut self, now: Time, report: ActionReport) {
+    /// Records the result of an action.
+    pub(crate) fn on_action_report(&mut self, now: Time, report: ActionReport) {
         match report {
-            ActionReport::Order(id, start, end) => self.order_ended(now, &id, start, end),
-            ActionReport::Query(id, Some(report)) => self.reported(now, &id, report),
-            ActionReport::Query(id, None) => self.unanswered(now, &id),
-            ActionReport::Pushback(id, start, said) => self.pushed_back(now, &id, start, said),
+            ActionReport::Order(id, start, end) => self.on_order_outcome(now, &id, start, end),
+            ActionReport::Query(id, Some(report)) => self.on_query_response(now, &id, report),
+            ActionReport::Query(id, None) => self.on_query_failed(now, &id),
+            ActionReport::Pushback(id, start, pushback) => {
+                self.on_pushback(now, &id, start, pushback)
+            }
         }
     }
 
-    /// A replica asks for rest, or says that it leaves. One that has not begun to load gives its place to others.
-    fn pushed_back(&mut self, now: Time, id: &str, start: Start, said: Pushback) {
-        // Only the incarnation that was asked may have answered; where the next one did, it says so again to the next call.
-        if self.pushbacks.hear(&incarnation_name(id, start), said, now).is_none() {
+    /// Records a replica's pushback. If it has not begun to load, its slot goes to others.
+    fn on_pushback(&mut self, now: Time, id: &str, start: Start, pushback: Pushback) {
+        // If the next incarnation sent this, it sends it again with its next response.
+        if self.pushbacks.hear(&incarnation_name(id, start), pushback, now).is_none() {
             return;
         }
         let spread = self.settings.deadline;
-        let replica = self.replicas.get_mut(id).filter(|one| one.belief.start() == start);
-        let is_waiting = |target: &Target| !matches!(target.phase, Phase::Loading { .. });
-        if let Some(replica) = replica.filter(|one| one.target.as_ref().is_some_and(is_waiting)) {
-            replica.failed(now, spread);
+        let replica =
+            self.replicas.get_mut(id).filter(|record| record.weights_record.start() == start);
+        let is_waiting = |target: &LoadTarget| !matches!(target.phase, Phase::Loading { .. });
+        if let Some(replica) =
+            replica.filter(|record| record.target.as_ref().is_some_and(is_waiting))
+        {
+            replica.abandon_target(now, spread);
         }
     }
 
-    fn order_ended(&mut self, now: Time, id: &str, start: Start, end: OrderOutcome) {
+    fn on_order_outcome(&mut self, now: Time, id: &str, start: Start, end: OrderOutcome) {
         let Some(replica) = self.replicas.get_mut(id) else { return };
-        // What became of an order to an earlier incarnation says nothing of this one.
-        if replica.belief.start() != start {
+        // The order went to an earlier incarnation.
+        if replica.weights_record.start() != start {
             return;
         }
         let Some(target) = &mut replica.target else { return };
         match end {
             OrderOutcome::Accepted => {
-                let by = OrderedBy::ThisHolder;
-                target.phase = Phase::Loading { since: now, ask_at: now + FIRST_QUESTION, by };
+                let ordered_by = OrderedBy::ThisLeader;
+                target.phase =
+                    Phase::Loading { since: now, query_at: now + FIRST_QUERY_DELAY, ordered_by };
             }
             OrderOutcome::AlreadyLoaded => {
                 let loaded = LoadedModel { model: target.model.clone(), version: target.version };
-                let word = Word { instance: id, start, count: 0, source: ReportSource::Order };
+                let context =
+                    ReportContext { instance: id, start, sequence: 0, source: ReportSource::Order };
                 replica.target = None;
-                let events = replica.belief.heard(now, word, &[loaded]);
+                let events = replica.weights_record.record_unconfirmed(now, context, &[loaded]);
                 self.events.extend(events);
             }
             OrderOutcome::Fenced => {
                 replica.target = None;
                 replica.is_fenced = true;
             }
-            // An order that got no answer may be carried out seconds later. Given again with the same sequence, at
-            // most one of the two is carried out.
+            // An unacknowledged order may still be carried out later. Repeated with the same
+            // sequence, at most one of the two is.
             OrderOutcome::Refused | OrderOutcome::Unknown | OrderOutcome::Conflict => {
-                replica.failed(now, self.settings.deadline);
+                replica.abandon_target(now, self.settings.deadline);
             }
         }
     }
 
-    fn reported(&mut self, now: Time, id: &str, report: ReplicaReport) {
+    fn on_query_response(&mut self, now: Time, id: &str, report: ReplicaReport) {
         let term = self.term;
-        let Some(known) = self.replicas.get(id) else { return };
-        // A start that only its reports, or only its heartbeats say tells nothing apart.
-        let start = known.belief.start();
-        let is_other = ![start, Start::UNSAID].contains(&report.start) && start != Start::UNSAID;
-        if is_other {
-            // Its next heartbeat tells which incarnation is there.
-            return self.unanswered(now, id);
+        let Some(record) = self.replicas.get(id) else { return };
+        // The starts are compared only if both are specified.
+        let start = record.weights_record.start();
+        let is_other_incarnation =
+            ![start, Start::UNSAID].contains(&report.start) && start != Start::UNSAID;
+        if is_other_incarnation {
+            // The next heartbeat shows which incarnation is running.
+            return self.on_query_failed(now, id);
         }
-        let count = report.sequence;
-        let word = Word { instance: id, start, count, source: ReportSource::Query };
+        let sequence = report.sequence;
+        let context = ReportContext { instance: id, start, sequence, source: ReportSource::Query };
         let spread = self.settings.deadline;
-        let Some(replica) = self.replica_for(now, id, start) else { return };
-        replica.sequence = Some(count);
-        let events = replica.belief.reported(now, term, word, &report.models);
-        let loaded = replica.question_ended(now, spread, report.is_busy);
+        let Some(replica) = self.record_for(now, id, start) else { return };
+        replica.sequence = Some(sequence);
+        let events = replica.weights_record.record_query(now, term, context, &report.models);
+        let finished = replica.continue_load(now, spread, report.is_busy);
         self.events.extend(events);
-        if let Some(target) = loaded
-            && let Some(took) = target.took(now)
+        if let Some(target) = finished
+            && let Some(load_time) = target.load_duration(now)
         {
-            self.pace.times.entry(target.service).or_default().note(target.width, took);
+            self.planner
+                .times
+                .entry(target.service)
+                .or_default()
+                .record(target.concurrency, load_time);
         }
     }
 
-    /// A question to a replica got no answer that can be used.
-    fn unanswered(&mut self, now: Time, id: &str) {
+    /// Handles a query without a usable response.
+    fn on_query_failed(&mut self, now: Time, id: &str) {
         let spread = self.settings.deadline;
-        if let Some(replica) = self.replicas.get_mut(id).filter(|one| one.target.is_some()) {
-            replica.failed(now, spread);
+        if let Some(replica) = self.replicas.get_mut(id).filter(|record| record.target.is_some()) {
+            replica.abandon_target(now, spread);
         }
     }
 
-    /// Notes when versions were first seen named.
-    pub(crate) fn note_weights(&mut self, named_at: Time, weights: &BTreeMap<String, u32>) {
-        self.schedule.note(named_at, weights);
+    /// Records when versions were first seen as published.
+    pub(crate) fn record_publications(
+        &mut self,
+        published_at: Time,
+        weights: &BTreeMap<String, u32>,
+    ) {
+        self.publications.record(published_at, weights);
     }
 
-    /// Takes the next steps of a holder that may give orders from a moment on.
+    /// Advances the roll-out. No order is given before `orders_from`.
     pub(crate) fn step(
         &mut self,
         now: Time,
@@ -327,42 +349,45 @@
         instances: &BTreeMap<InstanceId, Instance>,
         weights: &BTreeMap<String, u32>,
     ) -> Vec<FleetAction> {
-        // The registry decides which incarnation is there: a clock that stepped back, or another writer's word, may have
-        // left a later start here, under which nothing would be heard any more.
+        // The registry decides which incarnation is running. A clock that stepped back or an
+        // external writer may have left a later start here, which would hide all further
+        // heartbeats.
         self.replicas.retain(|id, replica| {
-            let is_ahead = |one: &Instance| one.start < replica.belief.start();
+            let is_ahead = |instance: &Instance| instance.start < replica.weights_record.start();
             !instances.get(id).is_some_and(is_ahead)
-                || now < replica.known_since + REGISTRATION_TIME
+                || now < replica.created_at + REGISTRATION_GRACE
         });
         for (id, replica) in &mut self.replicas {
-            let instance = instances.get(id).filter(|one| one.start == replica.belief.start());
-            if instance.is_none_or(|one| one.is_draining) {
+            let instance = instances
+                .get(id)
+                .filter(|instance| instance.start == replica.weights_record.start());
+            if instance.is_none_or(|instance| instance.is_draining) {
                 replica.target = None;
             }
         }
-        self.take_turns(now, orders_from, instances, weights);
+        self.schedule_loads(now, orders_from, instances, weights);
         if now < orders_from {
             return Vec::new();
         }
         let registered = instances.values();
-        registered.filter_map(|one| self.advance(now, fence, one, weights)).collect()
+        registered.filter_map(|instance| self.next_action(now, fence, instance, weights)).collect()
     }
 
-    /// A model of which a replica lacks the newest version: the model, that version, and when the
-    /// first version that it lacks was named.
-    pub(super) fn lacking(
+    /// A model whose weights are outdated: the model, the newest version, and when the first newer
+    /// version was published.
+    pub(super) fn outdated_model(
         &self,
-        belief: &Belief,
+        weights_record: &WeightsRecord,
         weights: &BTreeMap<String, u32>,
     ) -> Option<(String, u32, Time)> {
-        belief.models().iter().find_map(|loaded| {
+        weights_record.models().iter().find_map(|loaded| {
             let newest = weights.get(&loaded.model).copied()?;
-            let named = self.schedule.due(&loaded.model, loaded.version)?;
-            (newest > loaded.version).then(|| (loaded.model.clone(), newest, named))
+            let published_at = self.publications.outdated_since(&loaded.model, loaded.version)?;
+            (newest > loaded.version).then(|| (loaded.model.clone(), newest, published_at))
         })
     }
 
-    fn advance(
+    fn next_action(
         &mut self,
         now: Time,
         fence: Term,
@@ -371,81 +396,82 @@
     ) -> Option<FleetAction> {
         let may_call = self.pushbacks.may_call(&instance.incarnation_name(), now);
         let replica = self.replicas.get_mut(&instance.id)?;
-        if replica.belief.start() != instance.start || !may_call {
+        if replica.weights_record.start() != instance.start || !may_call {
             return None;
         }
-        let question = FleetAction::Query {
+        let query = FleetAction::Query {
             instance: instance.id.clone(),
             start: instance.start,
             address: instance.address.clone(),
         };
         let Some(target) = &mut replica.target else {
-            return replica.belief.asks(now).then_some(question);
+            return replica.weights_record.take_due_query(now).then_some(query);
         };
         match target.phase {
             Phase::Granted => {
-                target.phase = Phase::Asking { since: now };
+                target.phase = Phase::Querying { since: now };
                 replica.sequence = None;
-                Some(question)
+                Some(query)
             }
-            // The sequence counts this order; the next one asks anew.
-            Phase::Asking { since } => match replica.sequence.take() {
+            // The sequence includes this order; the next order queries it again.
+            Phase::Querying { since } => match replica.sequence.take() {
                 Some(expected_sequence) => {
                     target.phase = Phase::Ordering { since: now };
                     target.version = weights.get(&target.model).copied()?.max(target.version);
                     Some(FleetAction::Order(target.order(instance, fence, expected_sequence)))
                 }
-                None if now >= since + ORDER_LIMIT => {
-                    replica.failed(now, self.settings.deadline);
+                None if now >= since + RESPONSE_TIMEOUT => {
+                    replica.abandon_target(now, self.settings.deadline);
                     None
                 }
                 None => None,
             },
-            Phase::Ordering { since } if now >= since + ORDER_LIMIT => {
-                replica.failed(now, self.settings.deadline);
+            Phase::Ordering { since } if now >= since + RESPONSE_TIMEOUT => {
+                replica.abandon_target(now, self.settings.deadline);
                 None
             }
-            Phase::Loading { since, .. } if now >= since + LOAD_LIMIT => {
-                replica.failed(now, self.settings.deadline);
+            Phase::Loading { since, .. } if now >= since + LOAD_TIMEOUT => {
+                replica.abandon_target(now, self.settings.deadline);
                 None
             }
-            Phase::Loading { since, ask_at, by } if now >= ask_at => {
-                target.phase = Phase::Loading { since, ask_at: now + ORDER_LIMIT, by };
-                Some(question)
+            Phase::Loading { since, query_at, ordered_by } if now >= query_at => {
+                target.phase =
+                    Phase::Loading { since, query_at: now + RESPONSE_TIMEOUT, ordered_by };
+                Some(query)
             }
             _ => None,
         }
     }
 }
 
-impl Replica {
-    /// Gives up what was to load: an order or a question failed. Its place goes to others, and it comes after them
-    /// for the time of a bound; then it is the first again, by its deadline. Where it kept its place or its turn, one to four of
-    /// 12 replicas that refuse, leave orders or questions unanswered or never end a load held up two to all of the others
-    /// for the bound of 8 s (members and replicas on a virtual clock).
-    fn failed(&mut self, now: Time, spread: Duration) {
+impl ReplicaRecord {
+    /// Abandons the load after a failed order or query. The slot is freed, and the replica comes
+    /// after all others until the deadline has passed, so that failing replicas don't delay the
+    /// others.
+    fn abandon_target(&mut self, now: Time, spread: Duration) {
         self.target = None;
-        self.rests_until = now + RETRY_PAUSE;
-        self.yields_until = now + spread;
+        self.retry_at = now + RETRY_DELAY;
+        self.low_priority_until = now + spread;
         self.failures += 1;
     }
 
-    /// Goes on after a report. Returns the target where what was to load is there.
-    fn question_ended(&mut self, now: Time, spread: Duration, is_busy: bool) -> Option<Target> {
+    /// Advances the load after a report. Returns the target when the load has finished.
+    fn continue_load(&mut self, now: Time, spread: Duration, is_busy: bool) -> Option<LoadTarget> {
         let target = self.target.as_mut()?;
-        if self.belief.version(&target.model) >= Some(target.version) && !is_busy {
+        if self.weights_record.version(&target.model) >= Some(target.version) && !is_busy {
             self.failures = 0;
             return self.target.take();
         }
-        let ask_at = now + QUESTION_INTERVAL;
+        let query_at = now + QUERY_INTERVAL;
         match target.phase {
-            // A report lags: what was accepted lately may not show yet.
-            Phase::Loading { since, by, .. } if is_busy || now < since + REPORT_LAG => {
-                target.phase = Phase::Loading { since, ask_at, by };
+            // The report may predate the accepted order.
+            Phase::Loading { since, ordered_by, .. } if is_busy || now < since + REPORT_LAG => {
+                target.phase = Phase::Loading { since, query_at, ordered_by };
             }
-            Phase::Loading { .. } => self.failed(now, spread),
-            Phase::Asking { .. } if is_busy => {
-                target.phase = Phase::Loading { since: now, ask_at, by: OrderedBy::Another };
+            Phase::Loading { .. } => self.abandon_target(now, spread),
+            Phase::Querying { .. } if is_busy => {
+                target.phase =
+                    Phase::Loading { since: now, query_at, ordered_by: OrderedBy::OtherLeader };
             }
             _ => {}
         }
--- a/crates/control/src/fleet/state.rs
+++ b/crates/control/src/fleet/state.rs
@@ -1,21 +1,21 @@
 //! Replicated state of the fleet.
 
+use super::batches::end_of_batch;
 use super::crashes::{CrashLedger, CrashReport};
-use super::pieces::end_of_piece;
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 use topazmount_types::{Instance, InstanceId, Start, Time};
 
-/// Removed replicas that are remembered.
-const KEPT_REMOVALS: usize = 4_096;
+/// Maximum number of removed replicas that are remembered.
+const MAX_REMOVALS: usize = 4_096;
 
-/// The catalog as the operator sent it; its format is the dialect's.
+/// The catalog as the operator sent it; the dialect defines its format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Version, chosen by the operator. The highest is in force.
+    /// Version set by the operator; the highest is in force.
     pub version: u64,
-    /// The text.
+    /// Content.
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
     /// Services that it declares.
@@ -28,7 +28,8 @@
 pub struct RemovedInstance {
     /// Replica.
     pub id: InstanceId,
-    /// Whether it had said that it leaves. Otherwise it fell silent, or its next life is at its address.
+    /// Whether it had announced its departure. Otherwise it timed out, or a later incarnation
+    /// replaced it.
     pub was_announced: bool,
     /// Its last incarnation.
     #[serde(default)]
@@ -40,32 +41,32 @@
 pub struct ReplicaChanges {
     /// Replicas that are new or have changed.
     pub changed: Vec<Instance>,
-    /// Replicas that are gone.
+    /// Replicas that were removed.
     pub removed: Vec<RemovedInstance>,
-    /// Whether `changed` begins the whole list anew.
+    /// Whether `changed` is the start of the full list.
     pub is_full: bool,
-    /// Revision of the list after them.
+    /// Revision of the list after these changes.
     pub revision: u64,
 }
 
 /// A change to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetCommand {
-    /// Puts a document in force if its version is higher than the one held.
+    /// Replaces the document if the version is higher.
     PutDocument(Document),
-    /// Adds a replica, or changes what is known of it.
+    /// Adds or updates a replica.
     Register(Instance),
-    /// Removes a replica that said that it leaves, whichever incarnation is known: this one never comes back.
+    /// Removes any incarnation of a replica that announced its departure; the removal is final.
     Depart(InstanceId),
-    /// Removes a replica that fell silent, whichever incarnation is known; it may come back.
+    /// Removes any incarnation of a replica that timed out; it may return.
     Expire(InstanceId),
-    /// Removes an incarnation that said that it leaves. A later one stays, or may come.
+    /// Removes an incarnation that announced its departure. Later incarnations are unaffected.
     #[serde(rename = "Leave")]
     DeregisterIncarnation(InstanceId, Start),
-    /// Removes an incarnation that fell silent; it may come back. A later one stays.
+    /// Removes an incarnation that timed out; it may return. Later incarnations are unaffected.
     #[serde(rename = "FallSilent")]
     ExpireIncarnation(InstanceId, Start),
-    /// Names a version of a model's weights.
+    /// Publishes a version of a model's weights.
     #[serde(rename = "NameWeights")]
     PublishWeights {
         /// Model.
@@ -73,24 +74,24 @@
         /// Version.
         version: u32,
     },
-    /// Older versions of a model's weights than this one may not begin on requests any more: its bound is over.
+    /// Retires versions of a model's weights older than this one, whose deadline has passed.
     RetireWeights {
         /// Model.
         model: String,
-        /// Oldest version that may begin.
+        /// Oldest version on which requests may begin.
         version: u32,
     },
-    /// Takes what gateways saw of crashes.
+    /// Records crashes seen by gateways.
     #[serde(rename = "NoteCrashes")]
     RecordCrashes {
-        /// The leader's clock. It is not kept from going back, as that of the ledger of calls is: only
-        /// times between crashes count, and a clock that stands still would make them one.
+        /// The leader's clock. It may go backwards, unlike the ledger's time: only intervals
+        /// between crashes matter.
         at: Time,
-        /// What they saw.
+        /// Crashes and completed requests.
         #[serde(rename = "notes")]
         report: CrashReport,
     },
-    /// Lets the time of blocks and suspicions end.
+    /// Ends blocks and suspicions whose time has passed.
     #[serde(rename = "ForgetCrashes")]
     ExpireCrashes {
         /// The leader's clock.
@@ -99,7 +100,7 @@
 }
 
 impl FleetCommand {
-    /// The same of whichever incarnation is known, for members that know nothing of incarnations.
+    /// Converts to the command for any incarnation, for members that don't know incarnations.
     pub(crate) fn without_incarnation(self) -> Self {
         match self {
             FleetCommand::DeregisterIncarnation(id, _) => FleetCommand::Depart(id),
@@ -113,10 +114,10 @@
 struct Removal {
     revision: u64,
     is_final: bool,
-    /// Where it was; empty if it was never known.
+    /// Its address; empty if unknown.
     #[serde(default)]
     address: String,
-    /// Whether it had said that it leaves.
+    /// Whether it had announced its departure.
     #[serde(default)]
     was_announced: bool,
     /// Its last incarnation.
@@ -124,31 +125,31 @@
     start: Start,
 }
 
-/// What a replica's word of itself is to the registry.
+/// How a replica's report relates to the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationStatus {
-    /// It changes what is registered.
+    /// It changes the registry.
     New,
-    /// It says what is registered.
+    /// It matches the registry.
     Unchanged,
-    /// It is of an incarnation that left, or that a later one, or another replica at its address, has replaced.
+    /// Its incarnation left, or was replaced by a later one or by another replica at its address.
     Superseded,
-    /// Nobody who speaks for a replica says this.
+    /// It contradicts the registry, so it can't come from this replica.
     Conflict(RegistrationConflict),
 }
 
-/// Why word under a replica's identifier can't be that replica's.
+/// Why a report contradicts the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RegistrationConflict {
-    /// It names a service that is not declared, and would end a replica of one that is.
+    /// Its service is not declared, and it would replace a replica of a declared one.
     UndeclaredService,
-    /// It names another service or address than the same incarnation before.
+    /// Its service or address differs from that of the same incarnation.
     #[serde(rename = "OtherPlace")]
     MovedAddress,
 }
 
 impl RegistrationConflict {
-    /// Name in answers and logs.
+    /// Name in responses and logs.
     pub fn name(self) -> &'static str {
         match self {
             RegistrationConflict::UndeclaredService => "undeclared_service",
@@ -157,21 +158,21 @@
     }
 }
 
-/// Replicated state. Invariants: the document's version and each model's version only rise; a
-/// draining incarnation never counts as ready again; an incarnation that left, or whose address was taken
-/// over, or that a later one has replaced, never comes back; nothing of an earlier one is kept for a later one.
+/// Replicated state. Invariants: versions of the document and of weights only rise; a draining
+/// incarnation stays so; an incarnation that left, lost its address or was replaced never returns;
+/// nothing known of an incarnation is applied to a later one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetState {
     document: Option<Document>,
     revision: u64,
     instances: BTreeMap<InstanceId, Instance>,
     removals: BTreeMap<InstanceId, Removal>,
-    /// Removals up to this revision may have been forgotten.
+    /// Removals up to this revision may have been dropped.
     forgotten_to: u64,
     weights: BTreeMap<String, u32>,
     #[serde(default)]
     crashes: CrashLedger,
-    /// Oldest version of each model's weights that may begin on requests. It outlasts the leader that counted the bound.
+    /// Oldest version of each model's weights on which requests may begin; kept across leaders.
     #[serde(default)]
     oldest_weights: BTreeMap<String, u32>,
 }
@@ -182,12 +183,12 @@
         self.document.as_ref()
     }
 
-    /// Version of the newest document; 0 where there is none.
+    /// Version of the newest document; 0 if there is none.
     pub fn document_version(&self) -> u64 {
         self.document.as_ref().map_or(0, |document| document.version)
     }
 
-    /// Counts changes to replicas.
+    /// Revision of the replica list.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -197,100 +198,108 @@
         &self.instances
     }
 
-    /// Newest version named for each model.
+    /// Newest published version for each model.
     pub fn weights(&self) -> &BTreeMap<String, u32> {
         &self.weights
     }
 
-    /// Oldest version of each model's weights that may still begin on requests, where the bound of one is over.
+    /// Oldest version of each model's weights on which requests may begin, if any was retired.
     pub fn oldest_weights(&self) -> &BTreeMap<String, u32> {
         &self.oldest_weights
     }
 
-    /// Requests under which replicas crash.
+    /// Requests that crash replicas.
     pub fn crashes(&self) -> &CrashLedger {
         &self.crashes
     }
 
-    /// Whether a registration would change anything.
+    /// Whether registering this replica would change the registry.
     pub fn would_register(&self, instance: &Instance) -> bool {
         self.registration_status(instance) == RegistrationStatus::New
     }
 
-    /// What a replica's word of itself is to what is registered, in whichever order word comes in.
-    pub fn registration_status(&self, said: &Instance) -> RegistrationStatus {
-        if self.has_left(&said.id, said.start) && !self.is_moved(said) {
+    /// How a replica's report relates to the registry; reports may arrive in any order.
+    pub fn registration_status(&self, reported: &Instance) -> RegistrationStatus {
+        if self.has_left(&reported.id, reported.start) && !self.is_at_new_address(reported) {
             return RegistrationStatus::Superseded;
         }
-        if let Some(cause) = self.foreign_cause(said) {
+        if let Some(cause) = self.registration_conflict(reported) {
             return RegistrationStatus::Conflict(cause);
         }
-        let Some(known) = self.instances.get(&said.id) else {
-            let is_late = self.is_of_an_earlier_life_there(said);
-            return if is_late { RegistrationStatus::Superseded } else { RegistrationStatus::New };
+        let Some(known) = self.instances.get(&reported.id) else {
+            let is_earlier = self.is_from_earlier_owner_of_address(reported);
+            return if is_earlier {
+                RegistrationStatus::Superseded
+            } else {
+                RegistrationStatus::New
+            };
         };
-        if self.outranks(said, known) {
+        if self.overrides_external(reported, known) {
             return RegistrationStatus::New;
         }
-        match said.start.cmp(&known.start) {
+        match reported.start.cmp(&known.start) {
             Ordering::Less => RegistrationStatus::Superseded,
             Ordering::Greater => RegistrationStatus::New,
-            Ordering::Equal if *known == merged(known, said.clone()) => {
+            Ordering::Equal if *known == merged(known, reported.clone()) => {
                 RegistrationStatus::Unchanged
             }
             Ordering::Equal => RegistrationStatus::New,
         }
     }
 
-    /// Guards replicas against another writer's word under their identifier, or at their address. RegistrationStatus of a service
-    /// that is not declared is no fault by itself: that of its replicas may come before the document that declares it.
-    fn foreign_cause(&self, said: &Instance) -> Option<RegistrationConflict> {
-        let ends = |known: &&Instance| known.id == said.id || known.address == said.address;
+    /// Protects replicas of declared services against external writers. A report of an undeclared
+    /// service alone is accepted, since replicas may register before the document declares their
+    /// service.
+    fn registration_conflict(&self, reported: &Instance) -> Option<RegistrationConflict> {
+        let ends = |known: &&Instance| known.id == reported.id || known.address == reported.address;
         let mut ended = self.instances.values().filter(ends);
-        if !self.is_declared(&said.service) && ended.any(|known| self.is_declared(&known.service)) {
+        if !self.is_declared(&reported.service)
+            && ended.any(|known| self.is_declared(&known.service))
+        {
             return Some(RegistrationConflict::UndeclaredService);
         }
-        let known = self.instances.get(&said.id)?;
-        let is_same = known.start == said.start && said.start != Start::UNSAID;
-        let is_elsewhere = known.service != said.service || known.address != said.address;
+        let known = self.instances.get(&reported.id)?;
+        let is_same = known.start == reported.start && reported.start != Start::UNSAID;
+        let is_elsewhere = known.service != reported.service || known.address != reported.address;
         let is_other = is_same && is_elsewhere && self.is_declared(&known.service);
         is_other.then_some(RegistrationConflict::MovedAddress)
     }
 
-    /// Whether word under an identifier that is not known is of a replica that started before the one that has its address now: a heartbeat
-    /// that a cut delayed beyond its sender's life. Taken for a newcomer it ended the one that is there for good. A newcomer
-    /// whose clock was set back waits until the other one is silent, 5 s.
-    fn is_of_an_earlier_life_there(&self, said: &Instance) -> bool {
+    /// Whether the report is from an unknown replica that started before the current one at its
+    /// address, such as a delayed heartbeat. A new replica with a slow clock is refused until the
+    /// current one times out.
+    fn is_from_earlier_owner_of_address(&self, reported: &Instance) -> bool {
         let is_later =
-            |known: &&Instance| known.address == said.address && known.start > said.start;
-        said.start != Start::UNSAID && self.instances.values().any(|known| is_later(&known))
+            |known: &&Instance| known.address == reported.address && known.start > reported.start;
+        reported.start != Start::UNSAID && self.instances.values().any(|known| is_later(&known))
     }
 
-    /// Whether a replica's own word comes after another writer's under its identifier, whatever start that one named.
-    fn outranks(&self, said: &Instance, known: &Instance) -> bool {
-        self.is_declared(&said.service) && !self.is_declared(&known.service)
+    /// Whether a report of a declared service replaces an external writer's entry, whatever its
+    /// start.
+    fn overrides_external(&self, reported: &Instance, known: &Instance) -> bool {
+        self.is_declared(&reported.service) && !self.is_declared(&known.service)
     }
 
-    /// Whether the document declares a service; where it does not say, it may.
+    /// Whether the document declares a service; true if it lists no services.
     fn is_declared(&self, service: &str) -> bool {
         let services = self.document.as_ref().map_or(&[][..], |document| &document.services);
         services.is_empty() || services.iter().any(|declared| declared == service)
     }
 
-    /// Whether an incarnation left for good.
+    /// Whether this incarnation left for good.
     pub fn has_left(&self, id: &str, start: Start) -> bool {
         self.removals.get(id).is_some_and(|removal| removal.is_final && start <= removal.start)
     }
 
-    /// Whether word is of an incarnation that was never seen, although a later start under its identifier has gone for
-    /// good: an incarnation has one address, so that this is no late word of it. Its clock has stepped back.
-    fn is_moved(&self, said: &Instance) -> bool {
-        let Some(removal) = self.removals.get(&said.id) else { return false };
-        let is_elsewhere = !removal.address.is_empty() && removal.address != said.address;
-        said.start != Start::UNSAID && said.start != removal.start && is_elsewhere
+    /// Whether this incarnation is at another address than the removed one. It is then a different
+    /// incarnation whose clock stepped back, since an incarnation keeps its address.
+    fn is_at_new_address(&self, reported: &Instance) -> bool {
+        let Some(removal) = self.removals.get(&reported.id) else { return false };
+        let is_elsewhere = !removal.address.is_empty() && removal.address != reported.address;
+        reported.start != Start::UNSAID && reported.start != removal.start && is_elsewhere
     }
 
-    /// Whether a departure would change anything. One that names no incarnation means the one that is known.
+    /// Whether a departure would change the registry. An unspecified start means any incarnation.
     pub fn would_deregister(&self, id: &str, start: Start) -> bool {
         match self.instances.get(id) {
             Some(known) => start == Start::UNSAID || start >= known.start,
@@ -298,24 +307,25 @@
         }
     }
 
-    /// Replicas changed and removed after a revision; `true` stands for the whole list.
+    /// Replicas changed and removed after a revision; `true` if this is the full list.
     pub fn changes_since(&self, revision: u64) -> (Vec<Instance>, Vec<RemovedInstance>, bool) {
         let changes = self.earliest_changes(revision, usize::MAX);
         (changes.changed, changes.removed, changes.is_full)
     }
 
-    /// The earliest `most` changes after a revision, and the revision that they lead to. Removals that are forgotten are
-    /// made good by a whole list, which goes at least as far as what is forgotten.
-    pub fn earliest_changes(&self, revision: u64, most: usize) -> ReplicaChanges {
+    /// The earliest `max` changes after a revision. Returns the start of the full list if removals
+    /// after that revision may have been dropped.
+    pub fn earliest_changes(&self, revision: u64, max: usize) -> ReplicaChanges {
         let is_full = revision < self.forgotten_to || revision > self.revision;
         let since = if is_full { 0 } else { revision };
-        let changed = || self.instances.values().filter(|one| one.changed_at > since || is_full);
+        let changed =
+            || self.instances.values().filter(|instance| instance.changed_at > since || is_full);
         let is_later = |removal: &Removal| removal.revision > since && !is_full;
         let removed = || self.removals.iter().filter(|(_, removal)| is_later(removal));
-        let all = changed().map(|one| one.changed_at);
+        let all = changed().map(|instance| instance.changed_at);
         let all = all.chain(removed().map(|(_, removal)| removal.revision));
-        let least = if is_full { self.forgotten_to } else { 0 };
-        let end = end_of_piece(all, most).map_or(self.revision, |end| end.max(least));
+        let min_end = if is_full { self.forgotten_to } else { 0 };
+        let end = end_of_batch(all, max).map_or(self.revision, |end| end.max(min_end));
         let removed = removed().filter(|(_, removal)| removal.revision <= end);
         let removed = removed.map(|(id, removal)| RemovedInstance {
             id: id.clone(),
@@ -323,11 +333,11 @@
             start: removal.start,
         });
         let removed = removed.collect();
-        let changed = changed().filter(|one| one.changed_at <= end).cloned().collect();
+        let changed = changed().filter(|instance| instance.changed_at <= end).cloned().collect();
         ReplicaChanges { changed, removed, is_full, revision: end }
     }
 
-    /// Applies one change.
+    /// Applies a command.
     pub fn apply(&mut self, command: FleetCommand) {
         match command {
             FleetCommand::PutDocument(document) => {
@@ -336,10 +346,10 @@
                 }
             }
             FleetCommand::Register(instance) => self.register(instance),
-            FleetCommand::Depart(id) => self.leave(id, Start::UNSAID),
-            FleetCommand::DeregisterIncarnation(id, start) => self.leave(id, start),
-            FleetCommand::Expire(id) => self.fall_silent(id, None),
-            FleetCommand::ExpireIncarnation(id, start) => self.fall_silent(id, Some(start)),
+            FleetCommand::Depart(id) => self.deregister(id, Start::UNSAID),
+            FleetCommand::DeregisterIncarnation(id, start) => self.deregister(id, start),
+            FleetCommand::Expire(id) => self.expire(id, None),
+            FleetCommand::ExpireIncarnation(id, start) => self.expire(id, Some(start)),
             FleetCommand::PublishWeights { model, version } => {
                 let known = self.weights.entry(model).or_default();
                 *known = version.max(*known);
@@ -348,7 +358,7 @@
                 let known = self.oldest_weights.entry(model).or_default();
                 *known = version.max(*known);
             }
-            FleetCommand::RecordCrashes { at, report: notes } => self.crashes.record(at, &notes),
+            FleetCommand::RecordCrashes { at, report } => self.crashes.record(at, &report),
             FleetCommand::ExpireCrashes { at } => self.crashes.expire(at),
         }
     }
@@ -357,9 +367,9 @@
         if !self.would_register(&instance) {
             return;
         }
-        // An address has one replica at a time: whoever had it before is gone, also who fell silent there. A
-        // heartbeat of it that comes late would otherwise end the one that is there now, for good.
-        // Not so another writer's word at the address of a replica that is silent for a while.
+        // An address has one replica at a time. Earlier replicas at the address are removed for
+        // good, so that their delayed heartbeats can't replace the new one. An external writer's
+        // report does not have this effect.
         let is_declared = self.is_declared(&instance.service);
         for removal in self.removals.values_mut() {
             removal.is_final |= is_declared && removal.address == instance.address;
@@ -369,12 +379,16 @@
             .instances
             .values()
             .find(|other| other.address == instance.address && other.id != instance.id);
-        if let Some((before, is_draining)) = before.map(|one| (one.id.clone(), one.is_draining)) {
+        if let Some((before, is_draining)) =
+            before.map(|instance| (instance.id.clone(), instance.is_draining))
+        {
             self.remove(before, true, is_draining);
         }
         self.revision += 1;
         let mut next = match self.instances.get(&instance.id) {
-            Some(known) if known.start == instance.start && !self.outranks(&instance, known) => {
+            Some(known)
+                if known.start == instance.start && !self.overrides_external(&instance, known) =>
+            {
                 merged(known, instance)
             }
             _ => instance,
@@ -383,19 +397,19 @@
         self.instances.insert(next.id.clone(), next);
     }
 
-    fn leave(&mut self, id: InstanceId, start: Start) {
+    fn deregister(&mut self, id: InstanceId, start: Start) {
         if self.would_deregister(&id, start) {
             let was_registered = self.instances.contains_key(&id);
             self.remove(id.clone(), true, true);
-            // Who was registered has left; a start beyond it, which another writer may name, ends nobody else.
+            // If it was registered, only its own start counts; an external writer may give any start.
             if let Some(removal) = self.removals.get_mut(&id).filter(|_| !was_registered) {
                 removal.start = removal.start.max(start);
             }
         }
     }
 
-    /// A draining replica that falls silent has left.
-    fn fall_silent(&mut self, id: InstanceId, start: Option<Start>) {
+    /// A draining replica that times out counts as departed.
+    fn expire(&mut self, id: InstanceId, start: Option<Start>) {
         let Some(known) = self.instances.get(&id) else { return };
         if start.is_none_or(|start| start == known.start) {
             let is_draining = known.is_draining;
@@ -414,7 +428,7 @@
         let address = known.map(|known| known.address).unwrap_or_default();
         let revision = self.revision;
         self.removals.insert(id, Removal { revision, is_final, address, was_announced, start });
-        if self.removals.len() > KEPT_REMOVALS {
+        if self.removals.len() > MAX_REMOVALS {
             let oldest = self.removals.iter().min_by_key(|(_, removal)| removal.revision);
             if let Some((id, revision)) = oldest.map(|(id, removal)| (id.clone(), removal.revision))
             {
@@ -425,7 +439,7 @@
     }
 }
 
-/// What a later report changes: everything but that a draining replica stays so.
+/// Combines a known entry with a later report; a draining replica stays draining.
 fn merged(known: &Instance, reported: Instance) -> Instance {
     let is_draining = known.is_draining || reported.is_draining;
     Instance { is_draining, changed_at: known.changed_at, ..reported }
--- a/crates/control/src/fleet/statuses.rs
+++ b/crates/control/src/fleet/statuses.rs
@@ -1,14 +1,14 @@
-//! What the leader believes of replicas, as a list whose changes are told in pieces.
+//! The leader's statuses of replicas, sent to requesters in batches of changes.
 
-use super::pieces::{MOST_TOLD, end_of_piece};
+use super::batches::{MAX_PER_RESPONSE, end_of_batch};
 use super::protocol::{InstanceStatus, SeenVersions};
 use super::state::FleetState;
 use std::collections::BTreeMap;
 use topazmount_consensus::Term;
 use topazmount_types::{Instance, InstanceId};
 
-/// Statuses with the count at which each changed last. Invariant: a requester that was told of a term and count has each
-/// status that changed up to then, of the replicas that it was told of by this leader.
+/// Statuses with the count of their last change. Invariant: a requester with this term and count
+/// has all statuses changed up to it, of the replicas that this leader sent to it.
 #[derive(Default)]
 pub(super) struct StatusList {
     entries: BTreeMap<InstanceId, (InstanceStatus, u64)>,
@@ -25,7 +25,7 @@
         self.count
     }
 
-    /// Takes over what is believed now of the replicas that there are.
+    /// Updates the statuses of all registered replicas.
     pub(super) fn refresh(
         &mut self,
         state: &FleetState,
@@ -41,34 +41,35 @@
         }
     }
 
-    /// What a requester should hear next: the statuses of replicas that it is told of with them, whatever their number, and
-    /// the earliest changes of others. Replicas that it is to be told of later come with their statuses then.
-    pub(super) fn news(
+    /// The next update for a requester: the statuses of all replicas sent in the same response, and
+    /// the earliest changes of others. Replicas that are sent later come with their statuses.
+    pub(super) fn update_since(
         &self,
         term: Term,
         seen: &SeenVersions,
         state: &FleetState,
-        told_now: &[Instance],
+        sent_replicas: &[Instance],
     ) -> Option<((Term, u64), Vec<InstanceStatus>)> {
-        if seen.statuses == (term, self.count) && told_now.is_empty() {
+        if seen.statuses == (term, self.count) && sent_replicas.is_empty() {
             return None;
         }
         let since = if seen.statuses.0 == term { seen.statuses.1 } else { 0 };
         let knows_all = seen.revision >= state.revision();
         let is_known = |id: &str| {
             let known = || state.instances().get(id);
-            knows_all || known().is_some_and(|one| one.changed_at <= seen.revision)
+            knows_all || known().is_some_and(|instance| instance.changed_at <= seen.revision)
         };
         let mut changed: Vec<&(InstanceStatus, u64)> = Vec::new();
         if seen.revision > 0 {
-            let later = self.entries.values().filter(|(_, changed_at)| *changed_at > since);
-            changed.extend(later.filter(|(status, _)| is_known(&status.id)));
+            let newer = self.entries.values().filter(|(_, changed_at)| *changed_at > since);
+            changed.extend(newer.filter(|(status, _)| is_known(&status.id)));
         }
-        let end = end_of_piece(changed.iter().map(|(_, changed_at)| *changed_at), MOST_TOLD);
+        let end = end_of_batch(changed.iter().map(|(_, changed_at)| *changed_at), MAX_PER_RESPONSE);
         let end = end.unwrap_or(self.count);
         changed.retain(|(_, changed_at)| *changed_at <= end);
-        let with_replicas = told_now.iter().filter_map(|one| self.entries.get(&one.id));
-        let told = changed.into_iter().chain(with_replicas).map(|(status, _)| status.clone());
-        Some(((term, end), told.collect()))
+        let with_replicas =
+            sent_replicas.iter().filter_map(|instance| self.entries.get(&instance.id));
+        let statuses = changed.into_iter().chain(with_replicas).map(|(status, _)| status.clone());
+        Some(((term, end), statuses.collect()))
     }
 }
--- a/crates/control/src/fleet/target.rs
+++ b/crates/control/src/fleet/target.rs
@@ -1,60 +1,59 @@
-//! A replica that is to load a version of the weights, and how far it is.
+//! The weights that a replica should load, and the progress of the load.
 
 use super::orders::{LoadMode, WeightsOrder};
 use std::time::Duration;
 use topazmount_consensus::Term;
 use topazmount_types::{Instance, Time};
 
-/// Steps of a load.
+/// Phases of a load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Phase {
-    /// Gateways are told to pass it over; its version must be there by the deadline.
+    /// Gateways are told to avoid the replica; the load is due by the deadline.
     Pausing { since: Time, deadline: Time },
-    /// Its order may be given.
+    /// A slot is granted; the order may be given.
     Granted,
-    /// A question is under way before the order.
-    Asking { since: Time },
-    /// An order is under way.
+    /// The replica is queried before the order.
+    Querying { since: Time },
+    /// The order is sent.
     Ordering { since: Time },
-    /// It loads.
-    Loading { since: Time, ask_at: Time, by: OrderedBy },
+    /// The replica loads.
+    Loading { since: Time, query_at: Time, ordered_by: OrderedBy },
 }
 
-/// Whose order a replica loads by.
+/// Whose order started a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OrderedBy {
-    /// This holder's, so that its time is known.
-    ThisHolder,
-    /// One that was under way when the replica was asked.
-    Another,
+    /// This leader's; the load time is known.
+    ThisLeader,
+    /// Another leader's; it was in progress when the replica was queried.
+    OtherLeader,
 }
 
-/// What one incarnation should load.
+/// The weights that one incarnation should load.
 #[derive(Clone, Debug)]
-pub(super) struct Target {
+pub(super) struct LoadTarget {
     pub(super) phase: Phase,
     pub(super) model: String,
     pub(super) version: u32,
     pub(super) service: String,
-    /// When it had its turn, and with how many at most it took places.
+    /// When the slot was granted, and the concurrency at that time.
     pub(super) granted_at: Time,
-    pub(super) width: usize,
+    pub(super) concurrency: usize,
 }
 
-impl Target {
-    /// Whether it takes one of the places for loads. One that hangs gives its own away: of 12 replicas with two places one such held up
-    /// three others for the bound of 8 s.
-    pub(super) fn takes_place(&self, now: Time, hung_after: Duration) -> bool {
+impl LoadTarget {
+    /// Whether it occupies a loading slot. A hung load gives its slot up.
+    pub(super) fn occupies_slot(&self, now: Time, hung_timeout: Duration) -> bool {
         match self.phase {
             Phase::Pausing { .. } => false,
-            Phase::Granted | Phase::Asking { .. } | Phase::Ordering { .. } => true,
-            Phase::Loading { .. } => now < self.granted_at + hung_after,
+            Phase::Granted | Phase::Querying { .. } | Phase::Ordering { .. } => true,
+            Phase::Loading { .. } => now < self.granted_at + hung_timeout,
         }
     }
 
-    /// What its load took, where it began with this holder's order.
-    pub(super) fn took(&self, now: Time) -> Option<Duration> {
-        let is_own = matches!(self.phase, Phase::Loading { by: OrderedBy::ThisHolder, .. });
+    /// Load time, if this leader's order started the load.
+    pub(super) fn load_duration(&self, now: Time) -> Option<Duration> {
+        let is_own = matches!(self.phase, Phase::Loading { ordered_by: OrderedBy::ThisLeader, .. });
         is_own.then(|| now.since(self.granted_at))
     }
 
--- a/crates/control/src/fleet_member.rs
+++ b/crates/control/src/fleet_member.rs
@@ -1,4 +1,4 @@
-//! How a member answers about the fleet.
+//! Handling of fleet requests by a member.
 
 use crate::fleet::{CrashReport, FleetCommand, FleetRequest, FleetResponse, FleetView};
 use crate::member::{Member, MemberOutput, Token};
@@ -9,23 +9,28 @@
 use topazmount_types::{Instance, Time};
 
 impl<D: Disk> Member<D> {
-    pub(crate) fn on_fleet(&mut self, now: Time, token: Token, request: FleetRequest) {
+    pub(crate) fn on_fleet_request(&mut self, now: Time, token: Token, request: FleetRequest) {
         match request {
             FleetRequest::Watch(watch) => {
-                self.note_crashes(now, &watch.crashes);
+                self.record_crashes(now, &watch.crashes);
                 self.fleet.watch(now, token, watch);
             }
             FleetRequest::ActionEnded(report) => {
-                self.fleet.order_ended(now, report);
+                self.fleet.on_action_report(now, report);
                 self.respond(token, Response::Fleet(FleetResponse::Done));
             }
             FleetRequest::Heartbeat(report) => self.on_heartbeat(now, token, report),
             FleetRequest::ForwardedHeartbeats(reports) => {
-                self.on_heartbeats_heard(now, token, &reports);
+                self.on_forwarded_heartbeats(now, token, &reports);
             }
             FleetRequest::Depart(id, start) => {
-                let is_known = !self.state.fleet.would_deregister(&id, start);
-                self.change(now, token, FleetCommand::DeregisterIncarnation(id, start), is_known);
+                let is_unchanged = !self.state.fleet.would_deregister(&id, start);
+                self.change(
+                    now,
+                    token,
+                    FleetCommand::DeregisterIncarnation(id, start),
+                    is_unchanged,
+                );
             }
             FleetRequest::PutDocument(document) => {
                 let is_old = document.version <= self.state.fleet.document_version();
@@ -48,25 +53,32 @@
         }
     }
 
-    /// Commits what a gateway saw of crashes: it must outlast a loss of all power, since the caller tries
-    /// again after it too. A member that does not lead takes nothing; the gateway tells the next one.
-    fn note_crashes(&mut self, now: Time, notes: &CrashReport) {
-        let notes = self.state.fleet.crashes().new_in(notes);
-        if self.replica.role() == Role::Leader && !notes.is_empty() {
-            self.propose_unasked(
+    /// Proposes crashes seen by a gateway; they are committed so that they survive a power loss,
+    /// after which callers retry. Gateways repeat their reports, so a member that is not the leader
+    /// ignores them.
+    fn record_crashes(&mut self, now: Time, report: &CrashReport) {
+        let report = self.state.fleet.crashes().new_in(report);
+        if self.replica.role() == Role::Leader && !report.is_empty() {
+            self.propose_internal(
                 now,
-                Command::Fleet(FleetCommand::RecordCrashes { at: now, report: notes }),
+                Command::Fleet(FleetCommand::RecordCrashes { at: now, report }),
             );
         }
     }
 
-    pub(crate) fn register(&mut self, now: Time, token: Token, instance: Instance, is_known: bool) {
-        self.change(now, token, FleetCommand::Register(instance), is_known);
+    pub(crate) fn register(
+        &mut self,
+        now: Time,
+        token: Token,
+        instance: Instance,
+        is_unchanged: bool,
+    ) {
+        self.change(now, token, FleetCommand::Register(instance), is_unchanged);
     }
 
-    /// Commits a change, unless it is known to hold already: then a lease is enough to say so.
-    fn change(&mut self, now: Time, token: Token, command: FleetCommand, holds_already: bool) {
-        if !holds_already {
+    /// Commits a change. If it is already in effect, a lease is enough to respond.
+    fn change(&mut self, now: Time, token: Token, command: FleetCommand, is_unchanged: bool) {
+        if !is_unchanged {
             return self.propose(now, token, Command::Fleet(command));
         }
         let response = if self.replica.may_read(now) {
@@ -85,39 +97,40 @@
         if !self.replica.has_lease(now) {
             if self.replica.role() != Role::Leader {
                 self.fleet.follow(now);
-                self.tell_heartbeats(now);
+                self.forward_heartbeats(now);
                 if self.replica.is_current(now) {
-                    self.fleet.note_weights(now, self.state.fleet.weights());
+                    self.fleet.record_publications(now, self.state.fleet.weights());
                 }
             }
             return;
         }
-        // A leader that has just started has committed its log and not applied it: its state is empty.
+        // A new leader has committed its log but may not have applied it yet.
         if !self.replica.may_read(now) {
             return;
         }
-        self.fleet.note_weights(now, self.state.fleet.weights());
+        self.fleet.record_publications(now, self.state.fleet.weights());
         let term = self.replica.term();
         let (commands, actions) = self.fleet.lead(now, term, &self.state.fleet);
         let may_retire = self.level() >= FeatureLevel::INCARNATIONS;
         for command in commands {
-            // Where a member can't apply it, the leader counts the bound by itself, and proposes it later.
+            // If some members can't apply it, the leader tracks the deadline itself and proposes it
+            // later.
             if matches!(command, FleetCommand::RetireWeights { .. }) && !may_retire {
                 continue;
             }
-            self.propose_unasked(now, Command::Fleet(command));
+            self.propose_internal(now, Command::Fleet(command));
         }
         self.outputs.extend(actions.into_iter().map(MemberOutput::Perform));
     }
 
-    pub(crate) fn answer_watchers(&mut self, now: Time) {
+    pub(crate) fn respond_to_watchers(&mut self, now: Time) {
         let base = FleetView {
             staleness: self.staleness(now),
             leader: self.leader_address(now),
             members: self.known_addresses(now),
             ..FleetView::default()
         };
-        for (token, view) in self.fleet.due(now, &self.state.fleet, &base) {
+        for (token, view) in self.fleet.take_due_responses(now, &self.state.fleet, &base) {
             self.respond(token, Response::Fleet(FleetResponse::View(Box::new(view))));
         }
     }
@@ -128,8 +141,8 @@
         leader.map(|info| info.address)
     }
 
-    /// How old the applied state may be. A follower that is current has what was acknowledged an election timeout
-    /// before its returned reply, and that reply is less than two old.
+    /// Maximum age of the applied state. A current follower has everything acknowledged up to one
+    /// election timeout before its returned reply, and that reply is less than two timeouts old.
     fn staleness(&self, now: Time) -> Option<Duration> {
         if self.replica.has_lease(now) {
             return Some(Duration::ZERO);
--- a/crates/control/src/heartbeats.rs
+++ b/crates/control/src/heartbeats.rs
@@ -1,9 +1,7 @@
-//! Heartbeats of replicas, which any member in contact with the leader answers.
+//! Heartbeats of replicas, received by any member in contact with the leader.
 //!
-//! A heartbeat that says nothing new needs no entry in the log, only the leader's knowledge that the replica lives: a
-//! follower answers it by itself, and tells the leader of all that it heard together. Where all heartbeats went to
-//! the leader, 1,004 replicas took 91% of the processor of its machine and 3% of the middle member's; spread, and with lists told by
-//! changes, 36% and 5% (means over a day of 40 s).
+//! A heartbeat that changes nothing needs no log entry. A follower answers it alone and forwards it
+//! to the leader in batches, which keeps the leader's load low.
 
 use crate::fleet::{FleetRequest, FleetResponse, InstanceReport, RegistrationStatus};
 use crate::member::{Member, MemberOutput, Token};
@@ -13,68 +11,68 @@
 use topazmount_consensus::{Disk, Role};
 use topazmount_types::{InstanceId, Time};
 
-/// Time between two words to the leader: a sixteenth of the silence after which a replica counts as gone.
-const TELLING: Duration = Duration::from_millis(300);
+/// Interval between two batches to the leader; short compared to the replica timeout.
+const FORWARD_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Heartbeats that a follower has answered and not told of.
+/// Heartbeats that a follower has answered and not forwarded yet.
 #[derive(Debug, Default)]
 pub(crate) struct Heartbeats {
-    heard: BTreeMap<InstanceId, InstanceReport>,
-    told_at: Time,
+    pending: BTreeMap<InstanceId, InstanceReport>,
+    forwarded_at: Time,
 }
 
 impl Heartbeats {
-    fn note(&mut self, report: InstanceReport) {
-        let order = |one: &InstanceReport| (one.instance.start, one.sequence);
-        let known = self.heard.get(&report.instance.id);
-        // A late one must not take the place of a newer one, nor of a later incarnation's.
+    fn record(&mut self, report: InstanceReport) {
+        let order = |report: &InstanceReport| (report.instance.start, report.sequence);
+        let known = self.pending.get(&report.instance.id);
+        // A delayed heartbeat must not replace a newer one or a later incarnation's.
         if known.is_none_or(|known| order(known) <= order(&report)) {
-            self.heard.insert(report.instance.id.clone(), report);
+            self.pending.insert(report.instance.id.clone(), report);
         }
     }
 
-    /// What the leader should hear now.
-    fn due(&mut self, now: Time) -> Option<Vec<InstanceReport>> {
-        if self.heard.is_empty() || now < self.told_at + TELLING {
+    /// Takes the batch if it is due.
+    fn take_due(&mut self, now: Time) -> Option<Vec<InstanceReport>> {
+        if self.pending.is_empty() || now < self.forwarded_at + FORWARD_INTERVAL {
             return None;
         }
-        self.told_at = now;
-        Some(std::mem::take(&mut self.heard).into_values().collect())
+        self.forwarded_at = now;
+        Some(std::mem::take(&mut self.pending).into_values().collect())
     }
 }
 
 impl<D: Disk> Member<D> {
     pub(crate) fn on_heartbeat(&mut self, now: Time, token: Token, report: InstanceReport) {
-        let leads = self.replica.role() == Role::Leader;
-        // What a follower has applied is committed; whether something newer is, it knows while it is current.
-        let may_answer =
-            if leads { self.replica.may_read(now) } else { self.replica.is_current(now) };
-        let judged = self.state.fleet.registration_status(&report.instance);
-        let refusal = match judged {
+        let is_leader = self.replica.role() == Role::Leader;
+        // A follower's applied state is committed; it is the newest while the follower is current.
+        let may_respond =
+            if is_leader { self.replica.may_read(now) } else { self.replica.is_current(now) };
+        let status = self.state.fleet.registration_status(&report.instance);
+        let refusal = match status {
             RegistrationStatus::Superseded => Some(FleetResponse::Superseded),
             RegistrationStatus::Conflict(cause) => Some(FleetResponse::Conflict(cause)),
             RegistrationStatus::Unchanged | RegistrationStatus::New => None,
         };
         if let Some(refusal) = refusal {
-            let response = match may_answer {
+            let response = match may_respond {
                 true => Response::Fleet(refusal),
                 false => self.not_leader(now),
             };
             return self.respond(token, response);
         }
-        let is_known = judged == RegistrationStatus::Unchanged;
-        if !leads && is_known && may_answer {
-            self.heartbeats.note(report);
+        let is_unchanged = status == RegistrationStatus::Unchanged;
+        if !is_leader && is_unchanged && may_respond {
+            self.heartbeats.record(report);
             return self.respond(token, Response::Fleet(FleetResponse::Done));
         }
-        if leads {
-            self.fleet.heartbeat(now, &report);
+        if is_leader {
+            self.fleet.on_heartbeat(now, &report);
         }
-        self.register(now, token, report.instance, is_known);
+        self.register(now, token, report.instance, is_unchanged);
     }
 
-    /// Takes another member's word on what it heard; a replica that is not registered has to come itself.
-    pub(crate) fn on_heartbeats_heard(
+    /// Records forwarded heartbeats; replicas that are not registered must send them to the leader.
+    pub(crate) fn on_forwarded_heartbeats(
         &mut self,
         now: Time,
         token: Token,
@@ -84,24 +82,24 @@
             let response = self.not_leader(now);
             return self.respond(token, response);
         }
-        let is_known = |one: &&InstanceReport| {
-            self.state.fleet.registration_status(&one.instance) == RegistrationStatus::Unchanged
+        let is_known = |report: &&InstanceReport| {
+            self.state.fleet.registration_status(&report.instance) == RegistrationStatus::Unchanged
         };
         let known = reports.iter().filter(is_known);
         for report in known {
-            self.fleet.heartbeat(now, report);
+            self.fleet.on_heartbeat(now, report);
         }
         self.respond(token, Response::Fleet(FleetResponse::Done));
     }
 
-    pub(crate) fn tell_heartbeats(&mut self, now: Time) {
+    pub(crate) fn forward_heartbeats(&mut self, now: Time) {
         if !self.replica.is_in_contact(now) {
-            // What was heard before must not count as heard later.
+            // Older heartbeats must not be forwarded later as if they were new.
             self.heartbeats = Heartbeats::default();
             return;
         }
         let Some(leader) = self.known_leader(now) else { return };
-        if let Some(reports) = self.heartbeats.due(now) {
+        if let Some(reports) = self.heartbeats.take_due(now) {
             let request = Request::Fleet(FleetRequest::ForwardedHeartbeats(reports));
             self.outputs.push(MemberOutput::Notify(leader.address, request));
         }
--- a/crates/control/src/identity.rs
+++ b/crates/control/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who a member is, and what it begins with.
+//! Identity and initial state of a member.
 
 use crate::member::{Founding, MemberSettings};
 use crate::state::ControlState;
@@ -8,16 +8,16 @@
 /// File that holds the member's identity.
 pub(crate) const IDENTITY_FILE: &str = "identity";
 
-/// The identity on a disk, if it has one.
+/// Reads the identity from a disk, if it has one.
 pub(crate) fn read_identity<D: Disk>(disk: &D) -> Result<Option<MemberId>, DiskError> {
     let bytes = disk.read(IDENTITY_FILE)?;
     let bytes = bytes.and_then(|bytes| <[u8; 8]>::try_from(bytes).ok());
     Ok(bytes.map(|bytes| MemberId(u64::from_le_bytes(bytes))))
 }
 
-/// Founding members' identities follow from their names, so that all agree on them; any other
-/// empty disk gets an identity that nobody had before.
-pub(crate) fn first_identity(settings: &MemberSettings, founding: Option<&Founding>) -> MemberId {
+/// Identity on an empty disk. Founding members derive theirs from their names, so that all agree on
+/// them; others get a new one.
+pub(crate) fn initial_identity(settings: &MemberSettings, founding: Option<&Founding>) -> MemberId {
     match founding {
         Some(_) => founding_identity(&settings.info),
         None => MemberId(Digest::of(&settings.seed.to_le_bytes()).prefix()),
@@ -28,8 +28,8 @@
     MemberId(Digest::of_parts(&[b"founding member", info.name.as_bytes()]).prefix())
 }
 
-/// State of an empty disk.
-pub(crate) fn first_state(founding: Option<&Founding>) -> Recovered {
+/// State on an empty disk.
+pub(crate) fn initial_state(founding: Option<&Founding>) -> Recovered {
     let Some(founding) = founding else {
         return Recovered::default();
     };
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/ledger.rs
@@ -1,8 +1,8 @@
 //! Ledger of calls that may run at most once.
 //!
-//! A node may dispatch a call only after its claim on the key was committed here, and dispatches
-//! it at most once. Invariant: a key's claim is held by one [`ClaimId`] for as long as the key is
-//! kept, unless that holder itself gave it back, having dispatched nothing.
+//! A node may dispatch a call only after its claim on the key was committed here, and dispatches it
+//! at most once. Invariant: a key is held by one [`ClaimId`] until the key is removed or the holder
+//! releases it without a dispatch.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -11,21 +11,21 @@
 
 /// How long a key is kept after its call ended, so that a late resend can't run again.
 const KEY_RETENTION: Duration = Duration::from_secs(90 * 24 * 3600);
-/// Claims that were given back and are remembered per key, so that a late copy of one is refused.
-const REMEMBERED_RELEASES: usize = 8;
+/// Released claims kept per key, so that delayed copies of them are refused.
+const MAX_RELEASED_CLAIMS: usize = 8;
 
 /// One node's claim on a key; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// Who claims.
+    /// Claiming node.
     pub node: NodeId,
-    /// Which run of it.
+    /// Run of the node's process.
     pub incarnation: Incarnation,
-    /// Counted by that run.
+    /// Number of the claim within that run.
     pub sequence: u64,
 }
 
-/// What the application answered.
+/// The application's response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActionResult {
     /// HTTP status.
@@ -35,16 +35,16 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum State {
+enum KeyState {
     /// The holder may dispatch, or has.
     Held { deadline: Time },
-    /// The application answered.
+    /// The application responded.
     Finished(ActionResult),
-    /// The holder lost sight of the call after handing it over.
+    /// The holder dispatched the call and does not know the outcome.
     Unknown,
     /// Ended; the result is no longer kept.
     Expired,
-    /// Given back without a dispatch; free to be claimed.
+    /// Released without a dispatch; free to be claimed.
     Free,
 }
 
@@ -52,11 +52,11 @@
 struct Record {
     holder: ClaimId,
     digest: Digest,
-    state: State,
+    state: KeyState,
     released: Vec<ClaimId>,
 }
 
-/// Answer to a claim.
+/// Outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
     /// The claimant holds the key and may dispatch.
@@ -65,20 +65,20 @@
     InProgress,
     /// The call ran; this was its result.
     Finished(ActionResult),
-    /// The call was handed over and its outcome can't be told.
+    /// The call was dispatched and its outcome is unknown.
     Unknown,
     /// The call ran; its result is no longer kept.
     Expired,
     /// The key belongs to a call with other content.
     KeyReused,
-    /// The claimant had given this very claim back.
+    /// The claimant has already released this claim.
     Released,
 }
 
-/// Answer to a lookup.
+/// Outcome of a lookup.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LookupOutcome {
-    /// No call with this key is known, or it was given back.
+    /// No call with this key is known, or it was released.
     Absent,
     /// As in [`ClaimOutcome`].
     InProgress,
@@ -96,17 +96,17 @@
     records: BTreeMap<ActionKey, Record>,
     /// Ended calls whose result is still kept, oldest first.
     kept_results: VecDeque<(Time, ActionKey)>,
-    /// Keys without a result, by the time after which they may be forgotten.
+    /// Keys without a result, by the time when they are removed.
     kept_keys: VecDeque<(Time, ActionKey)>,
 }
 
 impl Ledger {
-    /// Number of keys kept.
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no key is kept.
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -120,7 +120,7 @@
         digest: Digest,
         deadline: Time,
     ) -> ClaimOutcome {
-        let state = State::Held { deadline };
+        let state = KeyState::Held { deadline };
         let Some(record) = self.records.get_mut(&key) else {
             let record = Record { holder: claim, digest, state, released: Vec::new() };
             self.records.insert(key, record);
@@ -129,7 +129,7 @@
         if record.released.contains(&claim) {
             return ClaimOutcome::Released;
         }
-        if record.state == State::Free {
+        if record.state == KeyState::Free {
             record.holder = claim;
             record.digest = digest;
             record.state = state;
@@ -139,16 +139,16 @@
             return ClaimOutcome::KeyReused;
         }
         match &record.state {
-            State::Held { .. } if record.holder == claim => ClaimOutcome::Granted,
-            State::Held { deadline } if now < *deadline => ClaimOutcome::InProgress,
-            State::Held { .. } | State::Unknown => ClaimOutcome::Unknown,
-            State::Finished(result) => ClaimOutcome::Finished(result.clone()),
-            State::Expired | State::Free => ClaimOutcome::Expired,
+            KeyState::Held { .. } if record.holder == claim => ClaimOutcome::Granted,
+            KeyState::Held { deadline } if now < *deadline => ClaimOutcome::InProgress,
+            KeyState::Held { .. } | KeyState::Unknown => ClaimOutcome::Unknown,
+            KeyState::Finished(result) => ClaimOutcome::Finished(result.clone()),
+            KeyState::Expired | KeyState::Free => ClaimOutcome::Expired,
         }
     }
 
-    /// Records how the holder's call ended; `None` when that can't be told. Returns whether the
-    /// claimant held the key. A known result replaces "unknown", never the other way round.
+    /// Records how the holder's call ended; `None` if the outcome is unknown. Returns whether the
+    /// claimant held the key. A known result replaces an unknown one, never the reverse.
     pub fn finish(
         &mut self,
         now: Time,
@@ -160,16 +160,16 @@
         let Some(record) = self.records.get_mut(&key) else {
             return false;
         };
-        if record.holder != claim || record.state == State::Free {
+        if record.holder != claim || record.state == KeyState::Free {
             return false;
         }
         match (&record.state, result) {
-            (State::Held { .. } | State::Unknown, Some(result)) => {
-                record.state = State::Finished(result);
+            (KeyState::Held { .. } | KeyState::Unknown, Some(result)) => {
+                record.state = KeyState::Finished(result);
                 self.kept_results.push_back((now + retention, key));
             }
-            (State::Held { .. }, None) => {
-                record.state = State::Unknown;
+            (KeyState::Held { .. }, None) => {
+                record.state = KeyState::Unknown;
                 self.kept_keys.push_back((now + KEY_RETENTION, key));
             }
             _ => {}
@@ -177,21 +177,21 @@
         true
     }
 
-    /// Gives a claim back that was never dispatched. Also stops a late copy of the claim.
+    /// Releases a claim that was never dispatched, and refuses delayed copies of it.
     pub fn release(&mut self, key: ActionKey, claim: ClaimId, digest: Digest) {
         let record = self.records.entry(key).or_insert_with(|| Record {
             holder: claim,
             digest,
-            state: State::Free,
+            state: KeyState::Free,
             released: Vec::new(),
         });
-        if record.holder == claim && matches!(record.state, State::Held { .. }) {
-            record.state = State::Free;
+        if record.holder == claim && matches!(record.state, KeyState::Held { .. }) {
+            record.state = KeyState::Free;
         }
         if !record.released.contains(&claim) {
             record.released.push(claim);
         }
-        if record.released.len() > REMEMBERED_RELEASES {
+        if record.released.len() > MAX_RELEASED_CLAIMS {
             record.released.remove(0);
         }
     }
@@ -202,15 +202,15 @@
             return LookupOutcome::Absent;
         };
         match &record.state {
-            State::Free => LookupOutcome::Absent,
-            State::Held { deadline } if now < *deadline => LookupOutcome::InProgress,
-            State::Held { .. } | State::Unknown => LookupOutcome::Unknown,
-            State::Finished(result) => LookupOutcome::Finished(result.clone()),
-            State::Expired => LookupOutcome::Expired,
+            KeyState::Free => LookupOutcome::Absent,
+            KeyState::Held { deadline } if now < *deadline => LookupOutcome::InProgress,
+            KeyState::Held { .. } | KeyState::Unknown => LookupOutcome::Unknown,
+            KeyState::Finished(result) => LookupOutcome::Finished(result.clone()),
+            KeyState::Expired => LookupOutcome::Expired,
         }
     }
 
-    /// Drops results, and much later keys, whose time has come.
+    /// Removes expired results, and later their keys.
     pub fn expire(&mut self, now: Time) {
         while let Some((at, key)) = self.kept_results.front().copied() {
             if now < at {
@@ -218,7 +218,7 @@
             }
             self.kept_results.pop_front();
             if let Some(record) = self.records.get_mut(&key) {
-                record.state = State::Expired;
+                record.state = KeyState::Expired;
                 self.kept_keys.push_back((now + KEY_RETENTION, key));
             }
         }
@@ -233,7 +233,7 @@
 
     fn forget_ended(&mut self, key: ActionKey) {
         let state = self.records.get(&key).map(|record| &record.state);
-        if matches!(state, Some(State::Expired | State::Unknown)) {
+        if matches!(state, Some(KeyState::Expired | KeyState::Unknown)) {
             self.records.remove(&key);
         }
     }
--- a/crates/control/src/first_form/outgoing.rs
+++ b/crates/control/src/legacy/outgoing.rs
@@ -1,6 +1,6 @@
-//! Today's frames as the first builds read them.
+//! Encoding of frames for legacy builds.
 
-use super::WholeList;
+use super::FullGatewayList;
 use crate::fleet::{
     BlockedRequest, Document, FleetRequest, FleetResponse, FleetView, InstanceStatus,
 };
@@ -10,7 +10,7 @@
 use topazmount_consensus::{Envelope, Term};
 use topazmount_types::{Instance, InstanceId};
 
-/// A frame, with what the first builds can't read put into their types.
+/// A frame in the types of legacy builds.
 #[derive(Serialize)]
 pub struct OutgoingLegacyFrame<'a>(Outgoing<'a>);
 
@@ -69,14 +69,15 @@
     instances: &'a [Instance],
     removed: Vec<&'a InstanceId>,
     statuses: &'a Option<((Term, u64), Vec<InstanceStatus>)>,
-    gateways: Option<WholeList>,
+    gateways: Option<FullGatewayList>,
     gateway_count: u32,
     blocked: &'a Option<(u64, Vec<BlockedRequest>)>,
 }
 
 impl<'a> OutgoingLegacyFrame<'a> {
-    /// `None` where the first builds have no such message; `gateways` is the whole list where the frame has changes of it.
-    pub(super) fn new(frame: &'a Frame, gateways: Option<WholeList>) -> Option<Self> {
+    /// `None` if legacy builds have no such message. `gateways` is the full list if the frame has
+    /// changes of it.
+    pub(super) fn new(frame: &'a Frame, gateways: Option<FullGatewayList>) -> Option<Self> {
         let frame = match frame {
             Frame::Peer(address, envelope) => Outgoing::Peer(address, envelope),
             Frame::Request(number, request) => {
@@ -95,7 +96,7 @@
     fn new(request: &'a Request) -> Option<Self> {
         match request {
             Request::Fleet(FleetRequest::ForwardedHeartbeats(_)) => None,
-            // One that departs is whoever is known.
+            // Legacy builds remove any incarnation.
             Request::Fleet(FleetRequest::Depart(id, _)) => {
                 let depart = ChangedFleetRequest::Depart(id);
                 Some(OutgoingRequest::Changed(ChangedRequest::Fleet(depart)))
@@ -106,7 +107,7 @@
 }
 
 impl<'a> OutgoingResponse<'a> {
-    fn new(response: &'a Response, gateways: Option<WholeList>) -> Self {
+    fn new(response: &'a Response, gateways: Option<FullGatewayList>) -> Self {
         let changed = match response {
             // Either way the heartbeat changes nothing.
             Response::Fleet(FleetResponse::Conflict(_)) => ChangedFleetResponse::Superseded,
@@ -120,7 +121,7 @@
 }
 
 impl<'a> ChangedView<'a> {
-    fn new(view: &'a FleetView, gateways: Option<WholeList>) -> Self {
+    fn new(view: &'a FleetView, gateways: Option<FullGatewayList>) -> Self {
         ChangedView {
             staleness: view.staleness,
             leader: &view.leader,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,29 +1,28 @@
-//! What the replicated log is applied to, and one control member around it.
+//! A control member and the state that its replicated log is applied to.
 //!
-//! [`ControlState`] is the state machine: configuration revisions, the ledger of calls that may
-//! run at most once, and the fleet that gateways serve. [`Member`] joins it with the log: it takes requests and peer messages, makes
-//! state durable through a [`Disk`](topazmount_consensus::Disk), and says what to send. It opens no
-//! socket and reads no clock.
+//! [`ControlState`] is the state machine: configuration revisions, the ledger of calls that may run
+//! at most once, and the fleet that gateways serve. [`Member`] joins it with the log: it takes
+//! requests and peer messages, makes state durable through a [`Disk`](topazmount_consensus::Disk),
+//! and returns what to send. It opens no socket and reads no clock.
 
 mod configuration;
 mod events;
-mod first_form;
 mod fleet;
 mod fleet_member;
 mod heartbeats;
 mod identity;
 mod joining;
-mod kinds;
 mod ledger;
+mod legacy;
 mod member;
+mod message_kinds;
+mod participation;
 mod protocol;
 mod repair;
-mod standing;
 mod state;
 
 pub use configuration::{Configuration, ConfigurationUpdate, HistoryRow};
 pub use events::{ChangeReason, MembershipEvent};
-pub use first_form::{IncomingLegacyFrame, LegacyLink, OutgoingLegacyFrame};
 pub use fleet::{
     ActionReport, Availability, BlockedRequest, CRASHES_TO_BLOCK, CrashLedger, CrashRecord,
     CrashReport, Document, FleetAction, FleetCommand, FleetRequest, FleetResponse, FleetState,
@@ -33,6 +32,7 @@
     SeenVersions, WatchRequest, WeightsEvent, WeightsOrder,
 };
 pub use ledger::{ActionResult, ClaimId, ClaimOutcome, Ledger, LookupOutcome};
+pub use legacy::{IncomingLegacyFrame, LegacyLink, OutgoingLegacyFrame};
 pub use member::{Founding, Member, MemberError, MemberInput, MemberOutput, MemberSettings, Token};
 pub use protocol::{
     ChangeReply, ChangeRequest, Frame, JoinResponse, MemberStatus, NodeReport, Request,
--- a/crates/control/src/member.rs
+++ b/crates/control/src/member.rs
@@ -1,4 +1,4 @@
-//! One control member: log, disk, state machine and the requests that wait for them.
+//! One control member: log, disk, state machine and pending requests.
 
 use crate::configuration::ConfigurationUpdate;
 use crate::events::MembershipEvent;
@@ -6,10 +6,10 @@
     FleetAction, FleetLeader, FleetResponse, RolloutEvent, RolloutSettings, WeightsEvent,
 };
 use crate::heartbeats::Heartbeats;
-use crate::identity::{IDENTITY_FILE, first_identity, first_state, read_identity};
+use crate::identity::{IDENTITY_FILE, initial_identity, initial_state, read_identity};
 use crate::joining::Joining;
+use crate::participation::ReportedMembership;
 use crate::protocol::{ChangeReply, ChangeRequest, NodeReport, Request, Response};
-use crate::standing::Noted;
 use crate::state::{Command, ControlState, FeatureLevel, Reply, TimedCommand};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,26 +26,26 @@
 /// Applied bytes between two snapshots.
 const BYTES_PER_SNAPSHOT: u64 = 4 * 1024 * 1024;
 
-/// Names the requester of an answer; chosen by the driver.
+/// Identifies a request; chosen by the caller of [`Member::step`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(pub u64);
 
-/// Who this member is and how it behaves.
+/// Settings of a member.
 #[derive(Clone, Debug)]
 pub struct MemberSettings {
     /// Name and address.
     pub info: MemberInfo,
     /// Timing of the log.
     pub consensus: Config,
-    /// Seed of timeouts, and of the identity when the disk is empty.
+    /// Seed of timeouts, and of the identity on an empty disk.
     pub seed: u64,
-    /// Bounds of the roll-out of weights.
+    /// Settings of the roll-out of weights.
     pub rollout: RolloutSettings,
-    /// Addresses of members that a process outside the group asks to take it in.
+    /// Addresses of members that a process outside the group asks to join.
     pub seeds: Vec<String>,
 }
 
-/// What forms a new group; every founding member must be given the same.
+/// Initial members and state of a new group; the same for every founding member.
 #[derive(Clone, Debug)]
 pub struct Founding {
     /// All founding members.
@@ -54,61 +54,63 @@
     pub source: SourceFiles,
 }
 
-/// Why a member can't go on.
+/// A fatal error of a member.
 #[derive(Debug, Error)]
 pub enum MemberError {
-    /// Its durable state failed.
+    /// The write-ahead log failed.
     #[error(transparent)]
     Wal(#[from] WalError),
-    /// Its disk failed.
+    /// The disk failed.
     #[error(transparent)]
     Disk(#[from] DiskError),
-    /// A snapshot or entry can't be read.
+    /// A snapshot or entry can't be decoded.
     #[error("replicated state can't be decoded: {0}")]
     Decode(String),
 }
 
-/// Something that happened.
+/// An input to a member.
 #[derive(Clone, Debug)]
 pub enum MemberInput {
     /// Time passed.
     Tick,
-    /// A peer's message and the address that the peer listens at.
+    /// A peer's message, with the peer's listening address.
     Peer(String, Envelope),
-    /// A request that wants an answer.
+    /// A request that needs a response.
     Request(Token, Request),
-    /// The requester is gone.
+    /// The requester disconnected.
     Disconnected(Token),
-    /// A member that was asked to take this process in answered, or did not.
+    /// A member's response to a request to join; `None` if there was none.
     JoinResponse(String, Option<Response>),
-    /// The settings name other seeds now.
+    /// The seeds in the settings changed.
     SeedsChanged(Vec<String>),
-    /// Hand over leadership before a planned stop.
+    /// Transfer leadership before a planned stop.
     TransferLeadership,
 }
 
-/// Something to do.
+/// An output of a member, to be performed by the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberOutput {
-    /// Send a message to a member at this address.
+    /// Send a message to the member at this address.
     Send(String, Envelope),
-    /// Answer a request.
+    /// Respond to a request.
     Respond(Token, Response),
-    /// Send something to a replica, and tell with [`crate::FleetRequest::ActionEnded`] how it ended.
+    /// Send an order or query to a replica, and report the result with
+    /// [`crate::FleetRequest::ActionEnded`].
     Perform(FleetAction),
-    /// Send a request to the member at this address; nobody waits for the answer.
+    /// Send a request to the member at this address; no response is needed.
     Notify(String, Request),
-    /// Ask the member at this address, and tell with [`MemberInput::JoinResponse`] what it said.
+    /// Send a request to the member at this address, and return the response as
+    /// [`MemberInput::JoinResponse`].
     RequestJoin(String, Request),
-    /// Log and count what was decided about the membership.
+    /// Log and count a membership event.
     Membership(MembershipEvent),
-    /// As leader: a replica said something of its weights that was not known.
+    /// As leader: a weights report differed from the record.
     Weights(WeightsEvent),
-    /// As leader: how many replicas of a service load at a time changed, or whether all will be in time.
+    /// As leader: the roll-out plan of a service changed.
     Rollout(RolloutEvent),
 }
 
-struct Waiting {
+struct PendingRequest {
     token: Token,
     term: Term,
 }
@@ -119,17 +121,17 @@
     pub(crate) replica: Replica,
     wal: Wal<D>,
     pub(crate) state: ControlState,
-    waiting: BTreeMap<Index, Waiting>,
+    pending: BTreeMap<Index, PendingRequest>,
     pub(crate) nodes: BTreeMap<NodeId, NodeReport>,
     pub(crate) fleet: FleetLeader,
-    /// Where peers were last heard from: a joining member does not know the membership yet.
+    /// Last known addresses of peers; a joining member does not know the membership yet.
     peer_addresses: BTreeMap<MemberId, String>,
-    pub(crate) noted: Noted,
+    pub(crate) reported_membership: ReportedMembership,
     pub(crate) heartbeats: Heartbeats,
-    /// Leader: since when all voters have answered without a break.
+    /// As leader: since when all voters have been responding.
     pub(crate) complete_since: Option<Time>,
-    /// Leader: the change of the membership that could not be proposed last, and why.
-    pub(crate) hindered: Option<(MembershipChange, ProposeError)>,
+    /// As leader: the last membership change that could not be proposed, and why.
+    pub(crate) failed_change: Option<(MembershipChange, ProposeError)>,
     pub(crate) joining: Joining,
     snapshot_at: Index,
     bytes_since_snapshot: u64,
@@ -137,7 +139,7 @@
 }
 
 impl<D: Disk> Member<D> {
-    /// Opens the disk. An empty one starts a founding member when `founding` is given, else a
+    /// Opens the disk. An empty disk starts a founding member if `founding` is given, otherwise a
     /// process that must ask to join.
     ///
     /// # Errors
@@ -152,10 +154,10 @@
         let id = match read_identity(wal.disk())? {
             Some(id) => id,
             None => {
-                let id = first_identity(&settings, founding);
-                recovered = first_state(founding);
+                let id = initial_identity(&settings, founding);
+                recovered = initial_state(founding);
                 wal.initialize(&recovered)?;
-                // Last, so that an interrupted start begins anew.
+                // Written last, so that an interrupted start is repeated.
                 wal.disk_mut().replace(IDENTITY_FILE, &id.0.to_le_bytes())?;
                 id
             }
@@ -170,14 +172,14 @@
             replica,
             wal,
             state: ControlState::default(),
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             nodes: BTreeMap::new(),
             fleet,
             peer_addresses: BTreeMap::new(),
-            noted: Noted::new(now),
+            reported_membership: ReportedMembership::new(now),
             heartbeats: Heartbeats::default(),
             complete_since: None,
-            hindered: None,
+            failed_change: None,
             joining,
             snapshot_at,
             bytes_since_snapshot: 0,
@@ -187,7 +189,7 @@
         Ok(member)
     }
 
-    /// The log's state machine.
+    /// The consensus replica.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
@@ -211,13 +213,13 @@
         self.settings.consensus.election_timeout
     }
 
-    /// Next moment at which [`MemberInput::Tick`] has something to do.
+    /// Next time at which [`MemberInput::Tick`] has something to do.
     pub fn next_wakeup(&self) -> Time {
         let joining = self.joining.next_at().unwrap_or(Time::NEVER);
         self.replica.next_wakeup().min(joining)
     }
 
-    /// Takes a batch of inputs with one sync, and says what to do.
+    /// Processes a batch of inputs with one sync, and returns the outputs.
     ///
     /// # Errors
     /// [`MemberError`] when the disk failed; the process must stop.
@@ -231,18 +233,18 @@
                 MemberInput::Tick => self.tick(now),
                 MemberInput::Peer(address, envelope) => {
                     if self.is_outside() {
-                        self.joining.note(now, &address);
+                        self.joining.record_address(now, &address);
                     }
                     self.peer_addresses.insert(envelope.from, address);
                     self.replica.step(now, envelope);
                 }
                 MemberInput::Request(token, request) => self.on_request(now, token, request),
                 MemberInput::Disconnected(token) => {
-                    self.waiting.retain(|_, w| w.token != token);
-                    self.fleet.gone(token);
+                    self.pending.retain(|_, pending| pending.token != token);
+                    self.fleet.on_disconnect(token);
                 }
-                MemberInput::JoinResponse(address, answer) => {
-                    self.on_join_answer(now, address, answer);
+                MemberInput::JoinResponse(address, response) => {
+                    self.on_join_response(now, address, response);
                 }
                 MemberInput::SeedsChanged(seeds) => self.set_seeds(seeds),
                 MemberInput::TransferLeadership => {
@@ -252,11 +254,11 @@
         }
         self.replica.flush_proposals();
         self.drain_ready(now)?;
-        self.refuse_if_deposed(now);
-        self.answer_watchers(now);
-        self.note_membership(now);
-        let heard = self.fleet.take_events();
-        self.outputs.extend(heard.into_iter().map(MemberOutput::Weights));
+        self.reject_pending_if_not_leader(now);
+        self.respond_to_watchers(now);
+        self.emit_membership_change(now);
+        let weights_events = self.fleet.take_events();
+        self.outputs.extend(weights_events.into_iter().map(MemberOutput::Weights));
         let plans = self.fleet.take_plans();
         self.outputs.extend(plans.into_iter().map(MemberOutput::Rollout));
         Ok(std::mem::take(&mut self.outputs))
@@ -277,10 +279,10 @@
         let response = match request {
             Request::Ledger(command) => return self.propose(now, token, command),
             Request::Change(change) => return self.propose_change(now, token, change),
-            Request::Lookup(key) => self.as_leader(now, |state| {
+            Request::Lookup(key) => self.respond_from_state(now, |state| {
                 Response::Lookup(state.ledger.lookup(now.max(state.time), key))
             }),
-            Request::Source => self.as_leader(now, |state| {
+            Request::Source => self.respond_from_state(now, |state| {
                 let configuration = &state.configuration;
                 Response::Source(configuration.revision(), configuration.source().clone())
             }),
@@ -288,10 +290,10 @@
                 let report = NodeReport { name, zone, revision: have, received_at: now };
                 self.nodes.insert(node, report);
                 let update = self.state.configuration.update_since(have);
-                let has_news = update != ConfigurationUpdate::Current;
-                // What was committed may always be passed on; that there is nothing newer can't be
-                // told by a member that is cut off, and may lag for as long as the cut lasts.
-                if has_news || self.replica.is_in_contact(now) {
+                let is_newer = update != ConfigurationUpdate::Current;
+                // Committed data may always be returned. Only a member in contact with the leader
+                // can tell that there is nothing newer.
+                if is_newer || self.replica.is_in_contact(now) {
                     Response::Update(update)
                 } else {
                     Response::NotLeader(None)
@@ -300,14 +302,18 @@
             Request::History => Response::History(self.state.configuration.history()),
             Request::Status => Response::Status(Box::new(self.status(now))),
             Request::Join(id, info) => self.on_join(now, id, info),
-            Request::Fleet(request) => return self.on_fleet(now, token, request),
+            Request::Fleet(request) => return self.on_fleet_request(now, token, request),
         };
         self.outputs.push(MemberOutput::Respond(token, response));
     }
 
-    /// Answers from the applied state if this member may vouch for it.
-    fn as_leader(&self, now: Time, answer: impl Fn(&ControlState) -> Response) -> Response {
-        if self.replica.may_read(now) { answer(&self.state) } else { self.not_leader(now) }
+    /// Responds from the applied state if this member may serve reads.
+    fn respond_from_state(
+        &self,
+        now: Time,
+        respond: impl Fn(&ControlState) -> Response,
+    ) -> Response {
+        if self.replica.may_read(now) { respond(&self.state) } else { self.not_leader(now) }
     }
 
     pub(crate) fn not_leader(&self, now: Time) -> Response {
@@ -325,14 +331,14 @@
         self.propose(now, token, Command::Configure { expected, request, deltas });
     }
 
-    /// Proposes a command that nobody waits for.
-    pub(crate) fn propose_unasked(&mut self, now: Time, command: Command) {
-        // One that can't be taken now is proposed again by a later tick.
+    /// Proposes a command without a requester.
+    pub(crate) fn propose_internal(&mut self, now: Time, command: Command) {
+        // If it fails, a later tick proposes it again.
         let _ = self.replica.propose(self.encode(now, command));
     }
 
-    /// Which kinds of commands this leader may propose. It is agreed on in the log, so that it holds while a member is
-    /// down.
+    /// The commands that this leader may propose. The level is agreed on in the log, so it holds
+    /// while a member is down.
     pub(crate) fn level(&self) -> FeatureLevel {
         match self.replica.do_all_mark_replies() {
             true => FeatureLevel::INCARNATIONS.max(self.state.level),
@@ -352,7 +358,7 @@
         match self.replica.propose(self.encode(now, command)) {
             Ok(index) => {
                 let term = self.replica.term();
-                self.waiting.insert(index, Waiting { token, term });
+                self.pending.insert(index, PendingRequest { token, term });
             }
             Err(_) => {
                 let response = self.not_leader(now);
@@ -407,25 +413,25 @@
         let before = self.state.level;
         let reply = self.state.apply(timed);
         if self.state.level > before {
-            self.note(MembershipEvent::LevelRaised(self.state.level));
+            self.emit(MembershipEvent::LevelRaised(self.state.level));
         }
-        if let Some(waiting) = self.waiting.remove(&entry.index) {
+        if let Some(pending) = self.pending.remove(&entry.index) {
             let response =
-                if waiting.term == entry.term { response_of(reply) } else { self.not_leader(now) };
-            self.outputs.push(MemberOutput::Respond(waiting.token, response));
+                if pending.term == entry.term { response_of(reply) } else { self.not_leader(now) };
+            self.outputs.push(MemberOutput::Respond(pending.token, response));
         }
         Ok(())
     }
 
-    /// Requests that wait on a member that no longer leads are answered at once; their commands
-    /// are safe to send again to the next leader.
-    fn refuse_if_deposed(&mut self, now: Time) {
-        if self.replica.role() == Role::Leader || self.waiting.is_empty() {
+    /// Rejects pending requests on a member that is no longer the leader. Their commands may safely
+    /// be sent again.
+    fn reject_pending_if_not_leader(&mut self, now: Time) {
+        if self.replica.role() == Role::Leader || self.pending.is_empty() {
             return;
         }
-        for waiting in std::mem::take(&mut self.waiting).into_values() {
+        for pending in std::mem::take(&mut self.pending).into_values() {
             let response = self.not_leader(now);
-            self.outputs.push(MemberOutput::Respond(waiting.token, response));
+            self.outputs.push(MemberOutput::Respond(pending.token, response));
         }
     }
 
--- a/crates/control/src/kinds.rs
+++ b/crates/control/src/message_kinds.rs
@@ -1,4 +1,4 @@
-//! Names of the kinds of messages, for counters: a closed list, so that what a member does can be told by what it is for.
+//! Names of the kinds of messages, for counters. The set is fixed.
 
 use crate::fleet::{FleetRequest, FleetResponse, FleetView};
 use crate::protocol::{Frame, Request, Response};
@@ -70,7 +70,7 @@
 }
 
 impl FleetView {
-    /// Name of its kind: by the largest that it carries.
+    /// Name of its kind: the largest part that it contains.
     fn kind(&self) -> &'static str {
         if self.is_full {
             "view_all_replicas"
--- a/crates/control/src/standing.rs
+++ b/crates/control/src/participation.rs
@@ -1,4 +1,4 @@
-//! How a member takes part in its group: what it tells of that, and how it asks to be taken in.
+//! A member's participation in its group: status, known addresses and requests to join.
 
 use crate::events::MembershipEvent;
 use crate::member::{Member, MemberOutput};
@@ -7,34 +7,34 @@
 use topazmount_consensus::{Disk, MemberId, MemberInfo, Membership, Role, Standing};
 use topazmount_types::Time;
 
-/// Silence of all leaders after which a member asks whether it still is one.
-const REJOIN_SILENCE: Duration = Duration::from_secs(2);
-/// Time after which a node that no longer asks is left out of the status.
+/// A member that has seen no leader for this time asks whether it was removed.
+const REJOIN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Nodes that have not reported for this time are left out of the status.
 const NODE_REPORT_RETENTION: Duration = Duration::from_secs(60);
 
-/// The membership that this member acts by, as it was told last.
+/// The membership last emitted as an event.
 #[derive(Default)]
-pub(crate) struct Noted {
+pub(crate) struct ReportedMembership {
     membership: Membership,
     standing: Standing,
-    /// When the standing began.
+    /// When the standing last changed.
     since: Time,
-    /// When the membership began.
+    /// When the membership last changed.
     pub(crate) changed_at: Time,
 }
 
-impl Noted {
-    /// Nothing yet, and outside the group.
+impl ReportedMembership {
+    /// The state before any membership is known.
     pub(crate) fn new(now: Time) -> Self {
-        Noted { since: now, ..Noted::default() }
+        ReportedMembership { since: now, ..ReportedMembership::default() }
     }
 }
 
 impl<D: Disk> Member<D> {
-    /// Whether this process must ask to join: it never did, or it was away so long that it may
-    /// have been removed, of which a removed member is not told.
+    /// Whether this process must ask to join: it never did, or it may have been removed while away.
+    /// Removed members are not notified.
     pub(crate) fn must_join(&self, now: Time) -> bool {
-        self.is_outside() || self.replica.leader_silence(now) > REJOIN_SILENCE
+        self.is_outside() || self.replica.leader_silence(now) > REJOIN_TIMEOUT
     }
 
     /// Seeds in use.
@@ -42,7 +42,7 @@
         self.joining.seeds()
     }
 
-    /// Takes the seeds of changed settings into use.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: Vec<String>) {
         self.joining.set_seeds(seeds);
     }
@@ -66,53 +66,59 @@
         all.map(|info| info.address.clone()).collect()
     }
 
-    pub(crate) fn note(&mut self, event: MembershipEvent) {
+    pub(crate) fn emit(&mut self, event: MembershipEvent) {
         self.outputs.push(MemberOutput::Membership(event));
     }
 
-    pub(crate) fn note_membership(&mut self, now: Time) {
+    pub(crate) fn emit_membership_change(&mut self, now: Time) {
         let membership = self.replica.membership();
-        if *membership == self.noted.membership {
+        if *membership == self.reported_membership.membership {
             return;
         }
         let membership = membership.clone();
         let standing = membership.standing(self.replica.id());
-        if standing != self.noted.standing {
-            self.noted.since = now;
+        if standing != self.reported_membership.standing {
+            self.reported_membership.since = now;
         }
-        self.noted.standing = standing;
-        self.noted.changed_at = now;
-        self.noted.membership = membership.clone();
-        self.note(MembershipEvent::Changed { membership, standing });
+        self.reported_membership.standing = standing;
+        self.reported_membership.changed_at = now;
+        self.reported_membership.membership = membership.clone();
+        self.emit(MembershipEvent::Changed { membership, standing });
     }
 
-    /// Asks to join where that is due.
+    /// Sends due requests to join.
     pub(crate) fn tick_joining(&mut self, now: Time) {
         if !self.must_join(now) {
-            return self.joining.end();
+            return self.joining.stop();
         }
         let (id, info) = (self.replica.id(), &self.settings.info);
-        for address in self.joining.due(now, &info.address, self.member_addresses()) {
+        for address in self.joining.take_due_addresses(now, &info.address, self.member_addresses())
+        {
             let request = Request::Join(id, info.clone());
             self.outputs.push(MemberOutput::RequestJoin(address, request));
         }
     }
 
-    pub(crate) fn on_join_answer(&mut self, now: Time, member: String, answer: Option<Response>) {
-        self.joining.answered(now, &member, answer.as_ref());
-        let answer = match answer {
-            Some(Response::Joining(answer)) => Some(answer),
-            // From a member of an older version.
+    pub(crate) fn on_join_response(
+        &mut self,
+        now: Time,
+        member: String,
+        response: Option<Response>,
+    ) {
+        self.joining.on_response(now, &member, response.as_ref());
+        let response = match response {
+            Some(Response::Joining(response)) => Some(response),
+            // Sent by older builds.
             Some(Response::NotLeader(leader)) => {
                 Some(JoinResponse::Redirect { leader, members: Vec::new() })
             }
             Some(_) | None => None,
         };
-        self.note(MembershipEvent::JoinResponse { member, response: answer });
+        self.emit(MembershipEvent::JoinResponse { member, response });
     }
 
-    /// Another member that leads: the one that this member follows, or, outside the group, the one
-    /// that was named.
+    /// The leader, if it is another member: the one that this member follows, or outside the group
+    /// the one last reported.
     pub(crate) fn known_leader(&self, now: Time) -> Option<MemberInfo> {
         let leader = self.replica.leader().filter(|id| *id != self.replica.id());
         let followed = leader.and_then(|id| self.replica.membership().info(id).cloned());
@@ -122,8 +128,8 @@
 
     pub(crate) fn status(&mut self, now: Time) -> MemberStatus {
         self.nodes.retain(|_, report| now < report.received_at + NODE_REPORT_RETENTION);
-        let answering = match self.replica.role() {
-            Role::Leader => self.answering(now),
+        let responding = match self.replica.role() {
+            Role::Leader => self.responding_members(now),
             _ => Vec::new(),
         };
         MemberStatus {
@@ -137,13 +143,13 @@
             ledger_keys: self.state.ledger.len() as u64,
             nodes: self.nodes.values().cloned().collect(),
             now,
-            standing: self.noted.standing,
-            standing_for: now.since(self.noted.since),
-            responding: answering,
+            standing: self.reported_membership.standing,
+            standing_for: now.since(self.reported_membership.since),
+            responding,
         }
     }
 
-    fn answering(&self, now: Time) -> Vec<MemberId> {
+    fn responding_members(&self, now: Time) -> Vec<MemberId> {
         let membership = self.replica.membership();
         let all = membership.voters.keys().chain(membership.learners.keys());
         all.copied().filter(|id| self.replica.is_answering(*id, now)).collect()
