--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -12,7 +12,7 @@
 use topazmount_settings::SourceFiles;
 use topazmount_types::{ActionKey, Digest, NodeId, Refusal, Revision, Time};
 
-/// Numbers a request on one connection.
+/// Number of a request on one connection.
 pub type RequestNumber = u64;
 
 /// One frame on a connection to a control member.
@@ -22,21 +22,21 @@
     Peer(String, Envelope),
     /// From a node, an operator or a joining member.
     Request(RequestNumber, Request),
-    /// Answer to the request of that number on the same connection.
+    /// Response to the request of that number on the same connection.
     Response(RequestNumber, Response),
-    /// A member's message has come: shows its sender that the connection carries something.
+    /// Acknowledges a member's message, which shows that the connection works.
     #[serde(rename = "Heard")]
     Ack,
 }
 
-/// What a member can be asked.
+/// A request to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
     /// A command on the ledger; answered by the leader only.
     Ledger(Command),
     /// A change of configuration; answered by the leader only.
     Change(ChangeRequest),
-    /// What is known of a key; answered by the leader only.
+    /// Looks up a key; answered by the leader only.
     Lookup(ActionKey),
     /// A node reports its revision and asks for a newer one; answered by any member.
     Fetch {
@@ -46,16 +46,16 @@
         name: String,
         /// Its zone.
         zone: String,
-        /// Revision that it has in force.
+        /// Revision in force there.
         have: Revision,
     },
-    /// All configuration texts; answered by the leader only.
+    /// Reads all configuration texts; answered by the leader only.
     Source,
-    /// Accepted changes; answered by any member.
+    /// Reads accepted changes; answered by any member.
     History,
-    /// State of the member; answered by any member.
+    /// Reads the state of the member; answered by any member.
     Status,
-    /// A process with an empty disk asks to become a member; only the leader can take it in.
+    /// A process with an empty disk asks to become a member; only the leader can add it.
     Join(MemberId, MemberInfo),
     /// About the fleet.
     Fleet(FleetRequest),
@@ -72,7 +72,7 @@
     pub source: SourceFiles,
 }
 
-/// Answer to a change.
+/// Response to a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeReply {
     /// Accepted as this revision.
@@ -81,7 +81,7 @@
     Conflict(Revision),
 }
 
-/// A node as a member last heard of it.
+/// A node's last report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeReport {
     /// Name.
@@ -90,7 +90,7 @@
     pub zone: String,
     /// Revision in force there.
     pub revision: Revision,
-    /// When it asked last, on the member's clock.
+    /// When it was received, on the member's clock.
     #[serde(rename = "heard_at")]
     pub received_at: Time,
 }
@@ -118,17 +118,17 @@
     pub nodes: Vec<NodeReport>,
     /// Its clock.
     pub now: Time,
-    /// How it takes part, as far as it knows.
+    /// Its standing, as far as it knows.
     pub standing: Standing,
-    /// How long it has taken part so, or has not.
+    /// How long it has had this standing.
     pub standing_for: Duration,
-    /// Voters and learners that answered it lately, itself among them; empty unless it leads.
+    /// Voters and learners that responded recently, including itself; empty unless it leads.
     #[serde(rename = "answering")]
     pub responding: Vec<MemberId>,
 }
 
 impl MemberStatus {
-    /// Voters that share their name with another voter: one of them is a lost identity that still
+    /// Voters that share their name with another voter: one of them has lost its disk and still
     /// counts.
     pub fn duplicate_voters(&self) -> usize {
         let voters = &self.membership.voters;
@@ -136,32 +136,32 @@
         voters.len() - names.len()
     }
 
-    /// Voters that answered lately, if this member leads.
+    /// Voters that responded recently, if this member leads.
     pub fn responding_voters(&self) -> usize {
         let voters = &self.membership.voters;
         self.responding.iter().filter(|id| voters.contains_key(id)).count()
     }
 }
 
-/// What a member says to a process that asks to join.
+/// Response to a process that asks to join.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JoinResponse {
     /// It was proposed as a learner.
     Proposed,
     /// A learner of the same name is removed first; the process should ask again.
     ReplacesLearner,
-    /// Another change of the membership is under way; the process should ask again.
+    /// Another membership change is in progress; the process should ask again.
     Busy,
     /// It is a learner already.
     Learner,
     /// It is a voter already.
     Voter,
-    /// The member that was asked does not lead.
+    /// The member is not the leader.
     #[serde(rename = "AskElsewhere")]
     Redirect {
-        /// Who does, if it knows.
+        /// The leader, if known.
         leader: Option<MemberInfo>,
-        /// Addresses of members that it knows of.
+        /// Addresses of known members.
         members: Vec<String>,
     },
 }
@@ -182,16 +182,16 @@
     }
 }
 
-/// What a member answers.
+/// A response of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
     /// Result of a ledger command.
     Ledger(Reply),
     /// Result of a change.
     Change(ChangeReply),
-    /// What is known of a key.
+    /// Outcome of a lookup.
     Lookup(LookupOutcome),
-    /// What the node lacks.
+    /// Update for the node.
     Update(ConfigurationUpdate),
     /// All texts and their revision.
     Source(Revision, SourceFiles),
@@ -199,9 +199,9 @@
     History(Vec<HistoryRow>),
     /// State of the member.
     Status(Box<MemberStatus>),
-    /// To a process that asks to join.
+    /// Response to a request to join.
     Joining(JoinResponse),
-    /// Ask this member instead, or any other when none is named.
+    /// The leader to ask instead; any other member if unknown.
     NotLeader(Option<MemberInfo>),
     /// Refused, with the reason.
     Refused(Refusal),
--- a/crates/control/src/repair.rs
+++ b/crates/control/src/repair.rs
@@ -1,6 +1,6 @@
-//! Membership repair: a process with an empty disk joins as a learner. Once it has the whole log, the
-//! identity whose place it takes is removed, and then it becomes a voter, so that no machine is ever
-//! counted twice.
+//! Membership repair. A process with an empty disk joins as a learner. Once it has the whole log,
+//! the identity that it replaces is removed, and then it becomes a voter, so that no machine counts
+//! twice.
 
 use crate::events::{ChangeReason, MembershipEvent};
 use crate::member::Member;
@@ -12,25 +12,24 @@
 };
 use topazmount_types::Time;
 
-/// Silence after which a voter for whose place another member is there is removed: two of the longest
-/// waits for an election, so that one that was only slow to hear of a new leader is kept.
-const SUCCEEDED_SILENCE: Duration = Duration::from_millis(2_400);
-/// Silence after which a voter is removed for a newcomer, although others are silent as well. Longer
-/// than a process or machine takes to start again.
-const UNDECIDED_SILENCE: Duration = Duration::from_secs(10);
-/// Silence after which a voter that the group is no safer with is removed.
-const SURPLUS_SILENCE: Duration = Duration::from_secs(4);
-/// Silence after which a learner is removed; it asks to join again by itself.
-const LEARNER_SILENCE: Duration = Duration::from_secs(10);
-/// Time for which all voters of a larger group must have answered before their number is what it is
-/// meant to have. Longer than a machine and its successor run side by side in a planned replacement, for
-/// as long as the successor has to catch up (4 and 6 s on the deployments that we know); short, since
-/// until then the group may lose the members by which it grew.
-const GROWING_TIME: Duration = Duration::from_secs(10);
-/// The same of a smaller group: longer than a machine is away that is repaired or replaced.
-const SHRINKING_TIME: Duration = Duration::from_secs(60);
+/// A silent voter with a successor is removed after this time; longer than two elections, so that a
+/// voter that is slow to follow a new leader is kept.
+const SUCCEEDED_VOTER_TIMEOUT: Duration = Duration::from_millis(2_400);
+/// A silent voter is removed for a new member after this time although other voters are silent too.
+/// Longer than the restart of a process or machine.
+const UNDECIDED_VOTER_TIMEOUT: Duration = Duration::from_secs(10);
+/// A silent voter that does not make the group safer is removed after this time.
+const SURPLUS_VOTER_TIMEOUT: Duration = Duration::from_secs(4);
+/// A silent learner is removed after this time; it asks to join again.
+const LEARNER_TIMEOUT: Duration = Duration::from_secs(10);
+/// All voters of a grown group must have responded for this time before the new size is confirmed.
+/// Longer than a machine and its replacement run side by side; short, since until then the group
+/// may shrink back.
+const GROWTH_CONFIRMATION_TIME: Duration = Duration::from_secs(10);
+/// The same for a shrunk group; longer than a machine is away for repair.
+const SHRINK_CONFIRMATION_TIME: Duration = Duration::from_secs(60);
 /// Entries by which a learner may lag when it becomes a voter.
-const PROMOTION_SLACK: u64 = 0;
+const MAX_PROMOTION_LAG: u64 = 0;
 
 impl<D: Disk> Member<D> {
     pub(crate) fn on_join(&mut self, now: Time, id: MemberId, info: MemberInfo) -> Response {
@@ -40,9 +39,9 @@
                 members: self.known_addresses(now),
             });
         }
-        let answer = self.admit(id, &info);
-        self.note(MembershipEvent::JoinRequested { id, info, response: answer.clone() });
-        Response::Joining(answer)
+        let response = self.admit(id, &info);
+        self.emit(MembershipEvent::JoinRequested { id, info, response: response.clone() });
+        Response::Joining(response)
     }
 
     fn admit(&mut self, id: MemberId, info: &MemberInfo) -> JoinResponse {
@@ -52,7 +51,7 @@
             Standing::Learner => return JoinResponse::Learner,
             Standing::Outside => {}
         }
-        let (change, reason, answer) = match stale_learner(membership, info) {
+        let (change, reason, response) = match stale_learner(membership, info) {
             Some(old) => (
                 MembershipChange::Remove(old),
                 ChangeReason::LearnerReplaced,
@@ -65,8 +64,8 @@
             ),
         };
         match self.change_membership(change, reason) {
-            Ok(()) => answer,
-            // It is asked for again with the next request to join.
+            Ok(()) => response,
+            // The change is proposed again with the next request to join.
             Err(_) => JoinResponse::Busy,
         }
     }
@@ -77,26 +76,26 @@
         reason: ChangeReason,
     ) -> Result<(), ProposeError> {
         let proposed = self.replica.propose_change(&change);
-        let hindered = proposed.err().map(|error| (change.clone(), error));
-        // It is tried again at each tick and told once.
-        if hindered.is_none() || hindered != self.hindered {
-            let hindrance = proposed.err();
-            self.note(MembershipEvent::ChangeProposed { change, reason, error: hindrance });
+        let failed_change = proposed.err().map(|error| (change.clone(), error));
+        // Retried at each tick, but emitted once.
+        if failed_change.is_none() || failed_change != self.failed_change {
+            let error = proposed.err();
+            self.emit(MembershipEvent::ChangeProposed { change, reason, error });
         }
-        self.hindered = hindered;
+        self.failed_change = failed_change;
         proposed.map(|_| ())
     }
 
-    /// Takes the next step of a repair under way; called while this member leads.
+    /// Takes the next step of a repair; called while this member leads.
     pub(crate) fn repair_membership(&mut self, now: Time) {
-        self.note_complete(now);
+        self.update_complete_since(now);
         if let Some((change, reason)) = self.next_repair(now) {
-            // What can't be proposed now is tried again at the next tick.
+            // If it fails, it is proposed again at the next tick.
             let _ = self.change_membership(change, reason);
         }
     }
 
-    fn note_complete(&mut self, now: Time) {
+    fn update_complete_since(&mut self, now: Time) {
         let mut voters = self.replica.membership().voters.keys();
         if voters.all(|id| self.replica.is_answering(*id, now)) {
             self.complete_since.get_or_insert(now);
@@ -109,40 +108,41 @@
         let replica = &self.replica;
         let membership = replica.membership();
         let ready = membership.learners.iter().filter(|(id, _)| is_ready(replica, **id, now));
-        let mut placed = ready.filter_map(|(id, info)| self.place(now, *id, info));
-        placed
+        let mut promotions = ready.filter_map(|(id, info)| self.promotion_step(now, *id, info));
+        promotions
             .next()
             .or_else(|| replaced_voter(replica, now).map(remove(ChangeReason::VoterReplaced)))
             .or_else(|| {
-                let is_over = membership.voters.len() > membership.full_size();
-                let gone = self.succeeded_voter(now, membership.full_size()).filter(|_| is_over);
-                gone.map(remove(ChangeReason::SuccessorReady))
+                let is_oversized = membership.voters.len() > membership.full_size();
+                let voter =
+                    self.voter_with_successor(now, membership.full_size()).filter(|_| is_oversized);
+                voter.map(remove(ChangeReason::SuccessorReady))
             })
             .or_else(|| surplus_voter(replica, now).map(remove(ChangeReason::SurplusVoter)))
             .or_else(|| silent_learner(replica, now).map(remove(ChangeReason::LearnerTimedOut)))
             .or_else(|| {
                 let change = (MembershipChange::Settle, ChangeReason::AllVotersResponding);
-                self.is_settled(now).then_some(change)
+                self.is_size_confirmed(now).then_some(change)
             })
     }
 
-    /// Whether the group has had another number of voters than it is meant to have for so long that it
-    /// is meant to have these.
-    fn is_settled(&self, now: Time) -> bool {
+    /// Whether the group has kept its current number of voters long enough for it to become the
+    /// intended size.
+    fn is_size_confirmed(&self, now: Time) -> bool {
         let membership = self.replica.membership();
-        // Where it is not known, any number is news.
+        // An unknown size counts as a change.
         let time = match membership.voters.len().cmp(&membership.full_size) {
-            Ordering::Greater => GROWING_TIME,
-            Ordering::Less => SHRINKING_TIME,
+            Ordering::Greater => GROWTH_CONFIRMATION_TIME,
+            Ordering::Less => SHRINK_CONFIRMATION_TIME,
             Ordering::Equal => return false,
         };
-        let since = self.complete_since.map(|since| since.max(self.noted.changed_at));
+        let since = self.complete_since.map(|since| since.max(self.reported_membership.changed_at));
         since.is_some_and(|since| now >= since + time)
     }
 
-    /// The next step by which a learner that is ready becomes a voter. Room is made first: were a
-    /// machine counted twice for a moment, the loss of its new disk too would cost two votes.
-    fn place(
+    /// The next step to make a learner that is ready a voter. The voter it replaces is removed
+    /// first, so that no machine has two votes.
+    fn promotion_step(
         &self,
         now: Time,
         id: MemberId,
@@ -152,7 +152,7 @@
         let membership = replica.membership();
         let mut voters = membership.voters.iter();
         if let Some((lost, _)) = voters.find(|(_, voter)| voter.name == info.name) {
-            // One that has just ended still seems to answer for a moment.
+            // A voter that has just stopped may still count as responding.
             let is_gone = !replica.is_answering(*lost, now);
             return is_gone.then(|| remove(ChangeReason::VoterReplaced)(*lost));
         }
@@ -160,31 +160,32 @@
         if membership.voters.len() < membership.full_size() {
             return Some(promote);
         }
-        if let Some(gone) = self.succeeded_voter(now, membership.voters.len()) {
-            return Some(remove(ChangeReason::SuccessorReady)(gone));
+        if let Some(voter) = self.voter_with_successor(now, membership.voters.len()) {
+            return Some(remove(ChangeReason::SuccessorReady)(voter));
         }
-        // The group grows only while nobody is missing.
-        let is_complete = membership.voters.keys().all(|voter| self.is_present(*voter, now));
+        // The group grows only while all voters respond.
+        let is_complete =
+            membership.voters.keys().all(|voter| self.has_responded_since_last_change(*voter, now));
         is_complete.then_some(promote)
     }
 
-    /// Whether a voter answers, and has since the newest member came: one that ended just before seems
-    /// to answer for a moment longer, and the newest may have come in its place.
-    fn is_present(&self, voter: MemberId, now: Time) -> bool {
+    /// Whether a voter has responded since the last membership change. A voter that stopped just
+    /// before may still count as responding, and the newest member may replace it.
+    fn has_responded_since_last_change(&self, voter: MemberId, now: Time) -> bool {
         self.replica.is_answering(voter, now)
-            && self.replica.has_answered_since(voter, self.noted.changed_at)
+            && self.replica.has_answered_since(voter, self.reported_membership.changed_at)
     }
 
-    /// A silent voter for whose place another member is there: `wanted` are, without it. Where fewer are,
-    /// nobody can tell which of them is only away for a while: its disk may be needed, should
-    /// the newcomer's be lost too. The choice is put off then.
-    fn succeeded_voter(&self, now: Time, wanted: usize) -> Option<MemberId> {
+    /// A silent voter that can be removed because `wanted` other members are present. If fewer are
+    /// present, the choice waits longer, since the silent voter's disk may still be needed.
+    fn voter_with_successor(&self, now: Time, wanted: usize) -> Option<MemberId> {
         let replica = &self.replica;
         let membership = replica.membership();
-        let voters = membership.voters.keys().filter(|id| self.is_present(**id, now));
+        let voters =
+            membership.voters.keys().filter(|id| self.has_responded_since_last_change(**id, now));
         let learners = membership.learners.keys().filter(|id| is_ready(replica, **id, now));
         let is_complete = voters.count() + learners.count() >= wanted;
-        let silence = if is_complete { SUCCEEDED_SILENCE } else { UNDECIDED_SILENCE };
+        let silence = if is_complete { SUCCEEDED_VOTER_TIMEOUT } else { UNDECIDED_VOTER_TIMEOUT };
         silent_voter(replica, now, silence)
     }
 }
@@ -193,47 +194,46 @@
     move |id| (MembershipChange::Remove(id), reason)
 }
 
-/// Whether a learner has the whole log and answers.
+/// Whether a learner has the whole log and responds.
 fn is_ready(replica: &Replica, learner: MemberId, now: Time) -> bool {
-    replica.is_caught_up(learner, PROMOTION_SLACK) && replica.is_answering(learner, now)
+    replica.is_caught_up(learner, MAX_PROMOTION_LAG) && replica.is_answering(learner, now)
 }
 
-/// A learner that went away before it became a voter; it asks again when it is back.
+/// A learner that stopped responding; it asks to join again when it is back.
 fn silent_learner(replica: &Replica, now: Time) -> Option<MemberId> {
     let mut learners = replica.membership().learners.keys().copied();
-    learners.find(|id| replica.member_silence(*id, now) > LEARNER_SILENCE)
+    learners.find(|id| replica.member_silence(*id, now) > LEARNER_TIMEOUT)
 }
 
-/// A learner of the same name that never made it: its disk was lost in turn.
+/// A learner of the same name that never became a voter; its disk was lost as well.
 fn stale_learner(membership: &Membership, info: &MemberInfo) -> Option<MemberId> {
     let mut learners = membership.learners.iter();
     learners.find(|(_, learner)| learner.name == info.name).map(|(id, _)| *id)
 }
 
-/// The silent one of two voters that share a name, when the other one answers.
+/// The silent one of two voters with the same name, if the other one responds.
 fn replaced_voter(replica: &Replica, now: Time) -> Option<MemberId> {
     let voters = &replica.membership().voters;
     voters.iter().map(|(id, info)| (*id, info)).find_map(|(id, info)| {
-        let has_answering_twin = voters.iter().any(|(other, other_info)| {
+        let has_responding_duplicate = voters.iter().any(|(other, other_info)| {
             *other != id && other_info.name == info.name && replica.is_answering(*other, now)
         });
-        (has_answering_twin && !replica.is_answering(id, now)).then_some(id)
+        (has_responding_duplicate && !replica.is_answering(id, now)).then_some(id)
     })
 }
 
-/// The voter that has been silent longest, if that is longer than a time.
+/// The voter that has been silent longest, if for longer than `silence`.
 fn silent_voter(replica: &Replica, now: Time, silence: Duration) -> Option<MemberId> {
     let voters = replica.membership().voters.keys().copied();
     let longest = voters.max_by_key(|id| replica.member_silence(*id, now))?;
     (replica.member_silence(longest, now) > silence).then_some(longest)
 }
 
-/// A silent voter of a group of even size. Such a group bears no more losses than one that is
-/// smaller by one, so the silent one only raises the quorum; it rejoins by itself when it is back.
-/// In a group of odd size it is kept: it may be back with its disk, and what was committed may be on
-/// no other disk that lasts.
+/// A silent voter of a group of even size. Such a group tolerates no more failures than one smaller
+/// by one, so the silent voter only raises the quorum; it joins again when it is back. In a group
+/// of odd size it is kept, since its disk may hold committed entries that are on no other disk.
 fn surplus_voter(replica: &Replica, now: Time) -> Option<MemberId> {
     let count = replica.membership().voters.len();
     let is_even = count.is_multiple_of(2) && count > 2;
-    silent_voter(replica, now, SURPLUS_SILENCE).filter(|_| is_even)
+    silent_voter(replica, now, SURPLUS_VOTER_TIMEOUT).filter(|_| is_even)
 }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -11,14 +11,13 @@
 /// A change to the state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Replaces the configuration.
+    /// Changes the configuration.
     Configure {
         /// Revision that the author saw.
         expected: Revision,
-        /// Tells a resend from another change.
+        /// Identifies resends.
         request: Digest,
-        /// What changes in the texts of that revision. All texts would make the log grow by
-        /// megabytes with each change.
+        /// Changes to the texts of that revision; full texts would make the log grow too fast.
         deltas: Vec<FileDelta>,
     },
     /// Claims a key.
@@ -29,7 +28,7 @@
         claim: ClaimId,
         /// Digest of the call.
         digest: Digest,
-        /// Time from now by which the call ends.
+        /// Time until the deadline of the call.
         within: Duration,
     },
     /// Records how a call ended.
@@ -38,12 +37,12 @@
         key: ActionKey,
         /// Holder's claim.
         claim: ClaimId,
-        /// Result; `None` when the outcome can't be told.
+        /// Result; `None` if the outcome is unknown.
         result: Option<ActionResult>,
         /// How long to keep it.
         retention: Duration,
     },
-    /// Gives back a claim that was never dispatched.
+    /// Releases a claim that was never dispatched.
     Release {
         /// Key.
         key: ActionKey,
@@ -57,7 +56,7 @@
 }
 
 impl Command {
-    /// The command as all members at a level can apply it.
+    /// The command as members at this level can apply it.
     pub(crate) fn at_level(self, level: FeatureLevel) -> Self {
         match self {
             Command::Fleet(change) if level < FeatureLevel::INCARNATIONS => {
@@ -68,24 +67,25 @@
     }
 }
 
-/// A command with the leader's time, so that all members expire alike.
+/// A command with the leader's time, which makes expiry deterministic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimedCommand {
-    /// Leader's clock when it was proposed.
+    /// Leader's clock at the proposal.
     pub at: Time,
     /// The command.
     pub command: Command,
-    /// FeatureLevel of the group from this command on, if it is above the one before.
+    /// Feature level of the group from this command on, if higher than before.
     #[serde(default)]
     pub level: FeatureLevel,
 }
 
-/// Which kinds of commands all members can apply. It only rises: a member that can't has no way back into the group.
+/// The kinds of commands that all members can apply. It only rises: a member that can't apply them
+/// can't rejoin the group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FeatureLevel(pub u8);
 
 impl FeatureLevel {
-    /// What the first builds apply.
+    /// Commands of the first builds.
     pub const INITIAL: FeatureLevel = FeatureLevel(0);
     /// Commands that name incarnations of replicas, and those that retire weights.
     pub const INCARNATIONS: FeatureLevel = FeatureLevel(1);
@@ -102,7 +102,7 @@
     Claim(ClaimOutcome),
     /// Whether the claimant held the key.
     Finished(bool),
-    /// The claim is given back.
+    /// The claim is released.
     Released,
     /// The fleet is changed.
     FleetChanged,
@@ -111,7 +111,7 @@
 /// All replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
-    /// Newest time of any command; never goes back.
+    /// Newest time of any command; never decreases.
     pub time: Time,
     /// Configuration.
     pub configuration: Configuration,
@@ -120,7 +120,7 @@
     /// Catalog, replicas and weights.
     #[serde(default)]
     pub fleet: FleetState,
-    /// Which kinds of commands all members can apply.
+    /// Feature level of the group.
     #[serde(default)]
     pub level: FeatureLevel,
 }
