--- a/crates/control/tests/common/first_build.rs
+++ b/crates/control/tests/common/legacy_build.rs
@@ -1,4 +1,4 @@
-//! Commands as the first builds read them.
+//! Commands and state as legacy builds read them.
 
 use serde::Deserialize;
 use serde::de::IgnoredAny;
@@ -32,7 +32,7 @@
     ForgetCrashes(IgnoredAny),
 }
 
-/// Why commands among the entries of a message can't be read.
+/// Errors of commands in a message that legacy builds can't read.
 pub fn unreadable_commands(envelope: &Envelope) -> Vec<String> {
     let Message::Append { entries, .. } = &envelope.message else { return Vec::new() };
     let read = entries.iter().filter_map(|entry| match &entry.payload {
@@ -72,7 +72,7 @@
     _crashes: IgnoredAny,
 }
 
-/// Why the state on a disk can't be read, if it can't.
+/// Error if legacy builds can't read the state on a disk.
 pub fn unreadable_state(disk: MemoryDisk) -> Option<String> {
     let (_, recovered) = Wal::open(disk).unwrap();
     let read = rmp_serde::from_slice::<ControlState>(&recovered.snapshot.data);
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,8 +1,7 @@
-//! A control group in memory: members over disks that last, messages that take time, on a virtual
-//! clock.
+//! A control group in memory: members with durable disks and delayed messages, on a virtual clock.
 #![allow(dead_code)]
 
-pub mod first_build;
+pub mod legacy_build;
 mod suspension;
 
 use serde::{Serialize, de::DeserializeOwned};
@@ -16,7 +15,7 @@
 use topazmount_settings::SourceFiles;
 use topazmount_types::{Instance, Start, Time};
 
-/// Gives each case a name, which is its test's.
+/// Generates a test for each named case.
 #[macro_export]
 macro_rules! cases {
     ($($(#[doc = $doc:literal])* $name:ident => $body:block)*) => {
@@ -27,14 +26,14 @@
 /// A machine, by the last number of its address.
 pub type Host = u8;
 
-/// Time between two looks at the clock.
+/// Simulation step.
 const TICK: Duration = Duration::from_millis(10);
-/// Time of a message.
-const TRAVEL: Duration = Duration::from_millis(10);
-/// Time after which a request to nobody is given up.
-const GIVE_UP: Duration = Duration::from_millis(1_100);
-/// Lines that [`World::told`] shows.
-const TOLD: usize = 60;
+/// Delivery time of a message.
+const MESSAGE_DELAY: Duration = Duration::from_millis(10);
+/// Time after which a request without a receiver fails.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_100);
+/// Lines kept for [`World::trace`].
+const MAX_TRACE_LINES: usize = 60;
 
 fn address(host: Host) -> String {
     format!("10.0.0.{host}:7780")
@@ -49,8 +48,8 @@
     MemberInfo { name: address(host), address: address(host) }
 }
 
-/// The first builds neither mark their replies nor return marks.
-fn leave_out_marks(envelope: &mut Envelope) {
+/// Legacy builds neither mark their replies nor return marks.
+fn remove_reply_marks(envelope: &mut Envelope) {
     match &mut envelope.message {
         Message::AppendReply { mark, .. } => *mark = Default::default(),
         Message::Append { returned, .. } => *returned = None,
@@ -58,7 +57,7 @@
     }
 }
 
-/// What the one replica of a play, on version 1 of its weights, says of itself.
+/// A heartbeat of replica `r`, with version 1 of its weights.
 pub fn heartbeat(count: u64) -> InstanceReport {
     let instance = Instance {
         id: "r".to_owned(),
@@ -79,16 +78,16 @@
     member: Option<Member<MemoryDisk>>,
     disk: MemoryDisk,
     seeds: Vec<Host>,
-    /// Times that its process was started; what was sent to an earlier one is lost.
+    /// Number of process starts; messages to an earlier process are lost.
     run: u64,
-    /// Inputs that wait while it is frozen.
-    held: Option<Vec<MemberInput>>,
-    /// Since when it is suspended.
+    /// Inputs held back while the process is frozen.
+    held_inputs: Option<Vec<MemberInput>>,
+    /// Since when the machine is suspended.
     suspended_at: Option<Time>,
     /// How far its clock is behind.
-    behind: Duration,
-    /// Who asked what it has not answered yet.
-    asked: BTreeMap<Token, Host>,
+    clock_lag: Duration,
+    /// Requesters of pending join requests.
+    pending_requests: BTreeMap<Token, Host>,
 }
 
 struct Transfer {
@@ -99,7 +98,7 @@
     input: MemberInput,
 }
 
-/// The machines, the messages between them, and what is cut.
+/// The machines, their messages and network cuts.
 pub struct World {
     pub now: Time,
     machines: BTreeMap<Host, Machine>,
@@ -107,56 +106,56 @@
     cuts: BTreeSet<(Host, Host)>,
     next_token: u64,
     seed: u64,
-    /// Machines whose messages go out without the names of fields, as those of older versions do.
-    pub nameless: BTreeSet<Host>,
-    /// Machines that run one of the first builds: they do not mark their replies, and can't apply newer kinds of commands.
-    pub first_builds: BTreeSet<Host>,
-    /// Commands that such a machine was sent and can't read.
-    pub unreadable: Vec<String>,
-    /// Whether the clocks of machines stand still while these are suspended.
+    /// Machines that encode messages without field names, as legacy builds do.
+    pub unnamed_fields: BTreeSet<Host>,
+    /// Machines that run a legacy build: they do not mark replies, and can't apply newer commands.
+    pub legacy_builds: BTreeSet<Host>,
+    /// Commands sent to such a machine that it can't read.
+    pub unreadable_commands: Vec<String>,
+    /// Whether a machine's clock stops while it is suspended.
     pub do_clocks_stop: bool,
-    /// Requests to join are lost.
-    are_changes_frozen: bool,
-    /// Answers to requests of the operator.
-    answers: BTreeMap<Token, Response>,
-    told: VecDeque<String>,
+    /// Whether join requests to the leader are dropped.
+    are_joins_refused: bool,
+    /// Responses to the operator's requests.
+    responses: BTreeMap<Token, Response>,
+    trace_lines: VecDeque<String>,
 }
 
 impl World {
-    /// A group that these machines found; the first three are everybody's seeds.
-    pub fn found(hosts: &[Host]) -> Self {
-        Self::found_with(hosts, hosts, 0)
+    /// A group with these founders; the first three are everybody's seeds.
+    pub fn new(hosts: &[Host]) -> Self {
+        Self::with_founders(hosts, hosts, 0)
     }
 
-    /// A group that the first machines found and the others join.
-    pub fn found_with(founders: &[Host], hosts: &[Host], seed: u64) -> Self {
+    /// A group with these founders, which the other hosts join.
+    pub fn with_founders(founders: &[Host], hosts: &[Host], seed: u64) -> Self {
         let mut world = World {
             now: Time::from_secs(1),
             machines: BTreeMap::new(),
             transfers: VecDeque::new(),
             cuts: BTreeSet::new(),
-            nameless: BTreeSet::new(),
-            first_builds: BTreeSet::new(),
-            unreadable: Vec::new(),
+            unnamed_fields: BTreeSet::new(),
+            legacy_builds: BTreeSet::new(),
+            unreadable_commands: Vec::new(),
             next_token: 0,
             seed: seed * 1_000_000,
             do_clocks_stop: false,
-            are_changes_frozen: false,
-            answers: BTreeMap::new(),
-            told: VecDeque::new(),
+            are_joins_refused: false,
+            responses: BTreeMap::new(),
+            trace_lines: VecDeque::new(),
         };
         let members = founders.iter().map(|host| info(*host)).collect();
         let founding = Founding { members, source: SourceFiles::default() };
         for host in hosts {
-            world.name_seeds(*host, &founders[..founders.len().min(3)]);
+            world.set_seeds(*host, &founders[..founders.len().min(3)]);
             let founding = founders.contains(host).then_some(&founding);
             world.open(*host, founding);
         }
         world
     }
 
-    /// What the settings of a machine name as seeds.
-    pub fn name_seeds(&mut self, host: Host, seeds: &[Host]) {
+    /// Sets the seeds of a machine.
+    pub fn set_seeds(&mut self, host: Host, seeds: &[Host]) {
         self.machines.entry(host).or_default().seeds = seeds.to_vec();
         let addresses = seeds.iter().map(|seed| address(*seed)).collect();
         self.step(host, vec![MemberInput::SeedsChanged(addresses)]);
@@ -177,11 +176,11 @@
         let member = Member::open(disk, settings, founding, self.now).unwrap();
         machine.member = Some(member);
         machine.run += 1;
-        machine.held = None;
+        machine.held_inputs = None;
         machine.suspended_at = None;
-        machine.behind = Duration::ZERO;
-        machine.asked.clear();
-        self.tell(host, "starts".to_owned());
+        machine.clock_lag = Duration::ZERO;
+        machine.pending_requests.clear();
+        self.log(host, "started".to_owned());
     }
 
     pub fn start(&mut self, host: Host) {
@@ -196,53 +195,55 @@
         self.machines.keys().copied().collect()
     }
 
-    /// Ends a process; its disk keeps what was synced.
+    /// Stops a process; its disk keeps synced data.
     pub fn kill(&mut self, host: Host) {
         let Some(machine) = self.machines.get_mut(&host) else { return };
         if let Some(member) = machine.member.take() {
             machine.disk = member.disk().clone();
             machine.disk.crash(0);
-            machine.held = None;
-            self.tell(host, "ends".to_owned());
+            machine.held_inputs = None;
+            self.log(host, "stopped".to_owned());
         }
     }
 
-    /// The disk of a machine whose process has ended.
+    /// The disk of a machine whose process has stopped.
     pub fn disk(&self, host: Host) -> MemoryDisk {
         self.machines[&host].disk.clone()
     }
 
-    /// Ends a process and empties its disk.
+    /// Stops a process and empties its disk.
     pub fn wipe(&mut self, host: Host) {
         self.kill(host);
         self.machines.get_mut(&host).unwrap().disk = MemoryDisk::default();
-        self.tell(host, "disk lost".to_owned());
+        self.log(host, "disk lost".to_owned());
     }
 
-    /// Takes a machine away for good.
+    /// Removes a machine.
     pub fn remove(&mut self, host: Host) {
         self.kill(host);
         self.machines.remove(&host);
     }
 
-    /// Lets a process stand still.
+    /// Freezes a process.
     pub fn freeze(&mut self, host: Host) {
-        self.machines.get_mut(&host).unwrap().held = Some(Vec::new());
-        self.tell(host, "freezes".to_owned());
+        self.machines.get_mut(&host).unwrap().held_inputs = Some(Vec::new());
+        self.log(host, "frozen".to_owned());
     }
 
     pub fn is_frozen(&self, host: Host) -> bool {
-        self.machines[&host].held.is_some()
+        self.machines[&host].held_inputs.is_some()
     }
 
     pub fn thaw(&mut self, host: Host) {
-        if let Some(held) = self.machines.get_mut(&host).and_then(|machine| machine.held.take()) {
-            self.tell(host, "thaws".to_owned());
-            self.step(host, held);
+        if let Some(held_inputs) =
+            self.machines.get_mut(&host).and_then(|machine| machine.held_inputs.take())
+        {
+            self.log(host, "thawed".to_owned());
+            self.step(host, held_inputs);
         }
     }
 
-    /// Cuts two machines off from each other.
+    /// Cuts the network between two machines.
     pub fn cut(&mut self, left: Host, right: Host) {
         self.cuts.insert((left, right));
         self.cuts.insert((right, left));
@@ -252,9 +253,9 @@
         self.cuts.clear();
     }
 
-    /// From now on nobody is taken in.
-    pub fn freeze_changes(&mut self) {
-        self.are_changes_frozen = true;
+    /// Drops all further join requests to the leader.
+    pub fn refuse_joins(&mut self) {
+        self.are_joins_refused = true;
     }
 
     pub fn run(&mut self, time: Duration) {
@@ -282,8 +283,9 @@
     fn step(&mut self, host: Host, inputs: Vec<MemberInput>) {
         let clock = self.clock_of(host);
         let Some(machine) = self.machines.get_mut(&host) else { return };
-        if let Some(held) = &mut machine.held {
-            held.extend(inputs.into_iter().filter(|input| !matches!(input, MemberInput::Tick)));
+        if let Some(held_inputs) = &mut machine.held_inputs {
+            held_inputs
+                .extend(inputs.into_iter().filter(|input| !matches!(input, MemberInput::Tick)));
             return;
         }
         let Some(member) = &mut machine.member else { return };
@@ -292,9 +294,9 @@
         }
     }
 
-    /// What arrives of what a machine sends.
-    fn sent<T: Serialize + DeserializeOwned>(&self, host: Host, value: T) -> T {
-        let bytes = match self.nameless.contains(&host) {
+    /// Encodes and decodes a value as the machine's build does.
+    fn encode_and_decode<T: Serialize + DeserializeOwned>(&self, host: Host, value: T) -> T {
+        let bytes = match self.unnamed_fields.contains(&host) {
             true => rmp_serde::to_vec(&value),
             false => rmp_serde::to_vec_named(&value),
         };
@@ -304,40 +306,41 @@
     fn perform(&mut self, host: Host, output: MemberOutput) {
         match output {
             MemberOutput::Send(to, envelope) => {
-                let mut envelope = self.sent(host, envelope);
-                if self.first_builds.contains(&host) {
-                    leave_out_marks(&mut envelope);
+                let mut envelope = self.encode_and_decode(host, envelope);
+                if self.legacy_builds.contains(&host) {
+                    remove_reply_marks(&mut envelope);
                 }
-                if self.first_builds.contains(&host_of(&to)) {
-                    self.unreadable.extend(first_build::unreadable_commands(&envelope));
+                if self.legacy_builds.contains(&host_of(&to)) {
+                    self.unreadable_commands.extend(legacy_build::unreadable_commands(&envelope));
                 }
                 self.send(host, host_of(&to), MemberInput::Peer(address(host), envelope));
             }
             MemberOutput::RequestJoin(to, request) => {
-                let request = self.sent(host, request);
-                self.ask_member(host, host_of(&to), request);
+                let request = self.encode_and_decode(host, request);
+                self.send_join_request(host, host_of(&to), request);
             }
             MemberOutput::Respond(token, response) => {
-                let response = self.sent(host, response);
-                let asker = self.machines.get_mut(&host).and_then(|m| m.asked.remove(&token));
-                match asker {
-                    Some(asker) => {
-                        let answer = MemberInput::JoinResponse(address(host), Some(response));
-                        self.send(host, asker, answer);
+                let response = self.encode_and_decode(host, response);
+                let requester =
+                    self.machines.get_mut(&host).and_then(|m| m.pending_requests.remove(&token));
+                match requester {
+                    Some(requester) => {
+                        let input = MemberInput::JoinResponse(address(host), Some(response));
+                        self.send(host, requester, input);
                     }
-                    None => drop(self.answers.insert(token, response)),
+                    None => drop(self.responses.insert(token, response)),
                 }
             }
             MemberOutput::Notify(to, request) => {
                 let token = self.token();
-                let request = self.sent(host, request);
+                let request = self.encode_and_decode(host, request);
                 self.send(host, host_of(&to), MemberInput::Request(token, request));
             }
             MemberOutput::Perform(_) | MemberOutput::Weights(_) | MemberOutput::Rollout(_) => {}
             MemberOutput::Membership(event) => {
-                let is_chatter = matches!(event, MembershipEvent::JoinResponse { .. });
-                if !is_chatter {
-                    self.tell(host, event.to_string());
+                let is_frequent = matches!(event, MembershipEvent::JoinResponse { .. });
+                if !is_frequent {
+                    self.log(host, event.to_string());
                 }
             }
         }
@@ -348,29 +351,29 @@
         Token(self.next_token)
     }
 
-    fn ask_member(&mut self, from: Host, to: Host, request: Request) {
+    fn send_join_request(&mut self, from: Host, to: Host, request: Request) {
         let is_cut = self.cuts.contains(&(from, to))
-            || self.are_changes_frozen && {
-                // The leader would take the process in.
+            || self.are_joins_refused && {
+                // The leader would add the process.
                 self.leader() == Some(to)
             };
         if !self.is_up(to) || is_cut {
-            let nobody = MemberInput::JoinResponse(address(to), None);
+            let no_response = MemberInput::JoinResponse(address(to), None);
             let run = self.machines[&from].run;
-            let at = self.now + GIVE_UP;
-            self.deliver(Transfer { at, from, to: from, run, input: nobody });
+            let at = self.now + REQUEST_TIMEOUT;
+            self.deliver(Transfer { at, from, to: from, run, input: no_response });
             return;
         }
         let token = self.token();
         let machine = self.machines.get_mut(&to).unwrap();
-        machine.asked.insert(token, from);
+        machine.pending_requests.insert(token, from);
         self.send(from, to, MemberInput::Request(token, request));
     }
 
     fn send(&mut self, from: Host, to: Host, input: MemberInput) {
         let Some(machine) = self.machines.get(&to) else { return };
         if machine.member.is_some() {
-            let (at, run) = (self.now + TRAVEL, machine.run);
+            let (at, run) = (self.now + MESSAGE_DELAY, machine.run);
             self.deliver(Transfer { at, from, to, run, input });
         }
     }
@@ -380,8 +383,8 @@
         self.transfers.insert(place, transfer);
     }
 
-    /// Sends a request of the operator; [`World::answer`] gives the answer.
-    pub fn ask(&mut self, host: Host, request: Request) -> Option<Token> {
+    /// Sends an operator's request; [`World::take_response`] returns the response.
+    pub fn request(&mut self, host: Host, request: Request) -> Option<Token> {
         if !self.is_up(host) || self.is_frozen(host) {
             return None;
         }
@@ -390,8 +393,8 @@
         Some(token)
     }
 
-    pub fn answer(&mut self, token: Token) -> Option<Response> {
-        self.answers.remove(&token)
+    pub fn take_response(&mut self, token: Token) -> Option<Response> {
+        self.responses.remove(&token)
     }
 
     pub fn member(&self, host: Host) -> Option<&Member<MemoryDisk>> {
@@ -400,10 +403,10 @@
 
     /// The member that leads with a lease.
     pub fn leader(&self) -> Option<Host> {
-        self.holders().first().copied()
+        self.leaders().first().copied()
     }
 
-    /// Whether the group counts this machine's member, and it knows.
+    /// Whether the machine's member is a voter, as known by the leader and by itself.
     pub fn is_voter(&self, host: Host) -> bool {
         let Some(leader) = self.leader().and_then(|leader| self.member(leader)) else {
             return false;
@@ -414,46 +417,46 @@
         standing(leader) == Standing::Voter && standing(member) == Standing::Voter
     }
 
-    /// Voters that the group counts.
+    /// Number of voters.
     pub fn voters(&self) -> usize {
         let leader = self.leader().and_then(|leader| self.member(leader));
         leader.map_or(0, |member| member.replica().membership().voters.len())
     }
 
-    /// Learners that the group counts.
+    /// Number of learners.
     pub fn learners(&self) -> usize {
         let leader = self.leader().and_then(|leader| self.member(leader));
         leader.map_or(0, |member| member.replica().membership().learners.len())
     }
 
-    /// Runs until something holds.
-    pub fn until(&mut self, what: &str, limit: Duration, holds: impl Fn(&World) -> bool) {
+    /// Runs until a condition holds.
+    pub fn run_until(&mut self, what: &str, limit: Duration, holds: impl Fn(&World) -> bool) {
         let end = self.now + limit;
         while !holds(self) {
-            assert!(self.now < end, "not within {limit:?}: {what}; {}", self.told());
+            assert!(self.now < end, "not within {limit:?}: {what}; {}", self.trace());
             self.tick();
         }
     }
 
-    /// The leader that a member names to callers.
-    pub fn named_leader(&mut self, host: Host) -> Option<Host> {
-        let token = self.ask(host, Request::Source)?;
-        match self.answer(token) {
+    /// The leader that a member reports to callers.
+    pub fn reported_leader(&mut self, host: Host) -> Option<Host> {
+        let token = self.request(host, Request::Source)?;
+        match self.take_response(token) {
             Some(Response::NotLeader(Some(leader))) => Some(host_of(&leader.address)),
             _ => None,
         }
     }
 
-    fn tell(&mut self, host: Host, what: String) {
-        self.told.push_back(format!("{} {host}: {what}", self.now));
-        if self.told.len() > TOLD {
-            self.told.pop_front();
+    fn log(&mut self, host: Host, what: String) {
+        self.trace_lines.push_back(format!("{} {host}: {what}", self.now));
+        if self.trace_lines.len() > MAX_TRACE_LINES {
+            self.trace_lines.pop_front();
         }
     }
 
-    /// What members said lately of who takes part.
-    pub fn told(&self) -> String {
-        let lines: Vec<&str> = self.told.iter().map(String::as_str).collect();
+    /// Recent events and the current state of all members.
+    pub fn trace(&self) -> String {
+        let lines: Vec<&str> = self.trace_lines.iter().map(String::as_str).collect();
         let mut states = Vec::new();
         for (host, machine) in &self.machines {
             let Some(member) = &machine.member else {
@@ -474,6 +477,6 @@
                 replica.commit()
             ));
         }
-        format!("lately:\n{}\nnow:\n{}", lines.join("\n"), states.join("\n"))
+        format!("recent events:\n{}\nstate:\n{}", lines.join("\n"), states.join("\n"))
     }
 }
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Revisions: compare-and-set, resends, deltas.
+//! Configuration revisions: compare-and-set, resends and deltas.
 
 use topazmount_control::{Configuration, ConfigurationUpdate};
 use topazmount_settings::SourceFiles;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn one_of_two_operators_with_equal_numbers_wins() {
+fn one_of_two_changes_of_the_same_revision_is_accepted() {
     let mut configuration = Configuration::founding(texts("a = 1\n"));
     assert_eq!(apply(&mut configuration, 1, "left", "a = 2\n"), Ok(Revision(2)));
     assert_eq!(apply(&mut configuration, 1, "right", "a = 3\n"), Err(Revision(2)));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_resend_gets_the_first_answer() {
+fn a_resend_gets_the_first_result() {
     let mut configuration = Configuration::founding(texts("a = 1\n"));
     assert_eq!(apply(&mut configuration, 1, "change", "a = 2\n"), Ok(Revision(2)));
     assert_eq!(apply(&mut configuration, 2, "next", "a = 3\n"), Ok(Revision(3)));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn deltas_lead_from_any_kept_revision_to_the_newest() {
+fn deltas_update_any_kept_revision_to_the_newest() {
     let mut configuration = Configuration::founding(texts("a = 0\nb = 0\n"));
     let mut past = vec![configuration.source().clone()];
     for number in 1..=40 {
--- a/crates/control/tests/fleet_state.rs
+++ b/crates/control/tests/fleet_state.rs
@@ -1,4 +1,4 @@
-//! Replicated state of the fleet: versions only rise, and who left stays away.
+//! Replicated state of the fleet: versions only rise, and departed replicas stay away.
 
 use topazmount_control::{
     Document, FleetCommand, FleetState, RegistrationConflict, RegistrationStatus,
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_highest_document_holds_and_equal_ones_change_nothing() {
+fn the_highest_document_version_is_kept() {
     let mut state = FleetState::default();
     for (version, text) in [(3, "three"), (2, "two"), (3, "another three"), (5, "five"), (4, "4")] {
         let bytes = text.as_bytes().to_vec();
@@ -47,19 +47,19 @@
 }
 
 #[test]
-fn a_draining_replica_never_counts_as_ready_again() {
+fn a_draining_replica_stays_draining() {
     let mut state = FleetState::default();
     register(&mut state, "a", "1:1");
     let draining = Instance { is_draining: true, ..instance("a", "1:1") };
     state.apply(FleetCommand::Register(draining));
-    // A heartbeat from before arrives late.
+    // A delayed heartbeat arrives.
     assert!(!state.would_register(&instance("a", "1:1")));
     register(&mut state, "a", "1:1");
     assert!(state.instances()["a"].is_draining);
 }
 
 #[test]
-fn who_left_never_comes_back_and_who_fell_silent_may() {
+fn departed_replicas_stay_away_and_timed_out_ones_may_return() {
     let mut state = FleetState::default();
     register(&mut state, "left", "1:1");
     register(&mut state, "silent", "2:2");
@@ -69,14 +69,14 @@
     register(&mut state, "left", "1:1");
     register(&mut state, "silent", "2:2");
     assert_eq!(ids(&state), ["silent"]);
-    // Before it was ever registered, too.
+    // Also if it was never registered.
     state.apply(FleetCommand::Depart("never-seen".to_owned()));
     register(&mut state, "never-seen", "3:3");
     assert_eq!(ids(&state), ["silent"]);
 }
 
 #[test]
-fn a_draining_replica_that_falls_silent_is_gone_for_good() {
+fn a_draining_replica_that_times_out_stays_away() {
     let mut state = FleetState::default();
     state.apply(FleetCommand::Register(Instance { is_draining: true, ..instance("a", "1:1") }));
     state.apply(FleetCommand::Expire("a".to_owned()));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn an_address_has_one_replica_and_late_heartbeats_of_the_old_one_count_nothing() {
+fn a_replaced_replica_at_an_address_stays_away() {
     let mut state = FleetState::default();
     register(&mut state, "old", "1:1");
     register(&mut state, "new", "1:1");
@@ -93,31 +93,31 @@
     assert_eq!(ids(&state), ["new"]);
 }
 
-/// What happens to a replica's old and new life at one address.
+/// Events of an old and a new replica at one address.
 #[derive(Clone, Copy)]
-enum Life {
-    /// A heartbeat of the old life.
+enum AddressEvent {
+    /// A heartbeat of the old replica.
     Old,
-    /// A heartbeat of the new life.
+    /// A heartbeat of the new replica.
     New,
-    /// The old life falls silent.
-    OldExpires,
-    /// The new life falls silent.
-    NewExpires,
+    /// The old replica times out.
+    OldTimesOut,
+    /// The new replica times out.
+    NewTimesOut,
 }
 
-/// A heartbeat of the old life that a cut had delayed comes in last, whatever was known of it: it ends nothing.
+/// A delayed heartbeat of the old replica removes nothing.
 macro_rules! late_heartbeats {
-    ($($name:ident: $($life:ident),+ => $left:expr;)*) => {$(
+    ($($name:ident: $($event:ident),+ => $left:expr;)*) => {$(
         #[test]
         fn $name() {
             let mut state = FleetState::default();
-            for life in [$(Life::$life),+] {
-                match life {
-                    Life::Old => register(&mut state, "old", "1:1"),
-                    Life::New => register(&mut state, "new", "1:1"),
-                    Life::OldExpires => state.apply(FleetCommand::Expire("old".to_owned())),
-                    Life::NewExpires => state.apply(FleetCommand::Expire("new".to_owned())),
+            for event in [$(AddressEvent::$event),+] {
+                match event {
+                    AddressEvent::Old => register(&mut state, "old", "1:1"),
+                    AddressEvent::New => register(&mut state, "new", "1:1"),
+                    AddressEvent::OldTimesOut => state.apply(FleetCommand::Expire("old".to_owned())),
+                    AddressEvent::NewTimesOut => state.apply(FleetCommand::Expire("new".to_owned())),
                 }
             }
             assert_eq!(ids(&state), $left);
@@ -126,13 +126,13 @@
 }
 
 late_heartbeats! {
-    after_the_new_life_replaced_it: Old, New, Old => ["new"];
-    after_it_expired_and_the_new_life_came: Old, OldExpires, New, Old => ["new"];
-    again_and_again: Old, OldExpires, New, Old, Old, New => ["new"];
-    before_the_new_life_came: Old, OldExpires, Old, New => ["new"];
-    after_both_expired: Old, OldExpires, New, NewExpires, Old => [""; 0];
-    the_new_life_comes_back: Old, OldExpires, New, NewExpires, Old, New => ["new"];
-    without_a_new_life_it_comes_back: Old, OldExpires, Old => ["old"];
+    after_replacement: Old, New, Old => ["new"];
+    after_timeout_and_replacement: Old, OldTimesOut, New, Old => ["new"];
+    repeatedly: Old, OldTimesOut, New, Old, Old, New => ["new"];
+    before_replacement: Old, OldTimesOut, Old, New => ["new"];
+    after_both_timed_out: Old, OldTimesOut, New, NewTimesOut, Old => [""; 0];
+    the_new_replica_returns: Old, OldTimesOut, New, NewTimesOut, Old, New => ["new"];
+    the_old_replica_returns_without_replacement: Old, OldTimesOut, Old => ["old"];
 }
 
 #[test]
@@ -154,8 +154,8 @@
         if is_full {
             known.clear();
         }
-        known.retain(|one| removed.iter().all(|gone| gone.id != one.id));
-        known.retain(|one| changed.iter().all(|other| other.id != one.id));
+        known.retain(|instance| removed.iter().all(|removal| removal.id != instance.id));
+        known.retain(|instance| changed.iter().all(|other| other.id != instance.id));
         known.extend(changed);
         known.sort_by(|left, right| left.id.cmp(&right.id));
         assert_eq!(known, expected, "from revision {revision}");
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn changes_in_pieces_lead_to_the_same_list() {
+fn changes_in_batches_lead_to_the_same_list() {
     let mut state = FleetState::default();
     for step in 0..60u32 {
         let id = format!("i{}", step % 7);
@@ -174,25 +174,25 @@
         }
     }
     let expected: Vec<Instance> = state.instances().values().cloned().collect();
-    for most in [1, 2, 5, 1_000] {
+    for max in [1, 2, 5, 1_000] {
         let (mut known, mut revision): (Vec<Instance>, u64) = Default::default();
         while revision < state.revision() {
-            let piece = state.earliest_changes(revision, most);
-            assert!(piece.changed.len() + piece.removed.len() <= most, "more than {most}");
-            assert!(piece.revision > revision, "no progress at {revision}");
-            known.retain(|one| piece.removed.iter().all(|gone| gone.id != one.id));
-            known.retain(|one| piece.changed.iter().all(|other| other.id != one.id));
-            known.extend(piece.changed);
-            revision = piece.revision;
+            let batch = state.earliest_changes(revision, max);
+            assert!(batch.changed.len() + batch.removed.len() <= max, "more than {max}");
+            assert!(batch.revision > revision, "no progress at {revision}");
+            known.retain(|instance| batch.removed.iter().all(|removal| removal.id != instance.id));
+            known.retain(|instance| batch.changed.iter().all(|other| other.id != instance.id));
+            known.extend(batch.changed);
+            revision = batch.revision;
         }
         known.sort_by(|left, right| left.id.cmp(&right.id));
-        assert_eq!(known, expected, "in pieces of {most}");
+        assert_eq!(known, expected, "in batches of {max}");
     }
 }
 
-/// 4,096 removals are remembered; whoever has not heard of older ones is told the whole list, in pieces too.
+/// Requesters that are behind the remembered removals get the full list, also in batches.
 #[test]
-fn a_whole_list_comes_to_an_end_in_pieces() {
+fn a_full_list_is_completed_in_batches() {
     let mut state = FleetState::default();
     for number in 0..4_200u32 {
         register(&mut state, &format!("i{number}"), "9:1");
@@ -200,30 +200,30 @@
     for number in 0..20u32 {
         register(&mut state, &format!("late{number}"), &format!("{number}:2"));
     }
-    let (mut revision, mut told, mut pieces) = (1, Vec::new(), 0);
+    let (mut revision, mut received, mut batches) = (1, Vec::new(), 0);
     while revision < state.revision() {
-        let piece = state.earliest_changes(revision, 5);
-        if piece.is_full {
-            assert_eq!(pieces, 0, "the list begins once");
+        let batch = state.earliest_changes(revision, 5);
+        if batch.is_full {
+            assert_eq!(batches, 0, "the list begins once");
         }
-        told.extend(piece.changed.into_iter().map(|one| one.id));
-        (revision, pieces) = (piece.revision, pieces + 1);
+        received.extend(batch.changed.into_iter().map(|instance| instance.id));
+        (revision, batches) = (batch.revision, batches + 1);
     }
-    told.sort();
+    received.sort();
     let expected: Vec<String> = state.instances().keys().cloned().collect();
-    assert_eq!(told, expected);
+    assert_eq!(received, expected);
 }
 
-/// Whoever sees a replica go must know whether that was planned.
+/// Gateways must know whether a removal was planned.
 #[test]
-fn a_removal_says_whether_it_was_announced() {
+fn removals_record_whether_the_departure_was_announced() {
     let removed_by = |last: &dyn Fn(&mut FleetState)| {
         let mut state = FleetState::default();
         register(&mut state, "old", "9:1");
         let before = state.revision();
         last(&mut state);
         let (_, removed, _) = state.changes_since(before);
-        removed.iter().find(|gone| gone.id == "old").map(|gone| gone.was_announced)
+        removed.iter().find(|removal| removal.id == "old").map(|removal| removal.was_announced)
     };
     let depart = |state: &mut FleetState| state.apply(FleetCommand::Depart("old".to_owned()));
     let expire = |state: &mut FleetState| state.apply(FleetCommand::Expire("old".to_owned()));
@@ -233,39 +233,41 @@
     assert_eq!(removed_by(&replace), Some(false));
 }
 
-/// What is said of one identifier, by incarnations that started one after the other.
+/// Reports about one identifier, with the start of the incarnation.
 #[derive(Clone, Copy)]
-enum Said {
-    /// An incarnation's heartbeat.
+enum Report {
+    /// A heartbeat.
     Ready(u64),
-    /// An incarnation drains.
+    /// A draining heartbeat.
     Draining(u64),
-    /// An incarnation leaves.
-    Left(u64),
-    /// An incarnation fell silent.
-    Silent(u64),
-    /// A departure that names no incarnation.
-    LeftUnnamed,
-    /// Another writer's heartbeat: a service that nobody declared.
+    /// A departure.
+    Departed(u64),
+    /// A timeout.
+    TimedOut(u64),
+    /// A departure without a start.
+    DepartedWithoutStart,
+    /// An external writer's heartbeat, with an undeclared service.
     Undeclared(u64),
-    /// Another writer's heartbeat: the incarnation, at another address.
+    /// An external writer's heartbeat, with another address.
     Elsewhere(u64),
 }
 
-fn say(state: &mut FleetState, said: Said) {
+fn apply_report(state: &mut FleetState, report: Report) {
     let of = |start| Instance { start: Start(start), ..instance("r", "1:1") };
-    let command = match said {
-        Said::Ready(start) => FleetCommand::Register(of(start)),
-        Said::Draining(start) => {
+    let command = match report {
+        Report::Ready(start) => FleetCommand::Register(of(start)),
+        Report::Draining(start) => {
             FleetCommand::Register(Instance { is_draining: true, ..of(start) })
         }
-        Said::Left(start) => FleetCommand::DeregisterIncarnation("r".to_owned(), Start(start)),
-        Said::Silent(start) => FleetCommand::ExpireIncarnation("r".to_owned(), Start(start)),
-        Said::LeftUnnamed => FleetCommand::Depart("r".to_owned()),
-        Said::Undeclared(start) => {
+        Report::Departed(start) => {
+            FleetCommand::DeregisterIncarnation("r".to_owned(), Start(start))
+        }
+        Report::TimedOut(start) => FleetCommand::ExpireIncarnation("r".to_owned(), Start(start)),
+        Report::DepartedWithoutStart => FleetCommand::Depart("r".to_owned()),
+        Report::Undeclared(start) => {
             FleetCommand::Register(Instance { service: "nobody".to_owned(), ..of(start) })
         }
-        Said::Elsewhere(start) => {
+        Report::Elsewhere(start) => {
             FleetCommand::Register(Instance { address: "9:9".to_owned(), ..of(start) })
         }
     };
@@ -279,19 +281,19 @@
     state
 }
 
-/// Whatever the order in which word of a replica's incarnations comes in, what belongs to an earlier one counts nothing
-/// for a later one: the last column is the incarnation that is left, and whether it drains.
+/// Reports of an earlier incarnation don't affect a later one, in any order. The result is the
+/// registered incarnation, and whether it drains.
 macro_rules! orders_of_arrival {
-    ($($name:ident: $($said:ident $(($start:literal))?),+ => $left:expr;)*) => {$(
+    ($($name:ident: $($report:ident $(($start:literal))?),+ => $left:expr;)*) => {$(
         #[test]
         fn $name() {
             let mut state = declared(&["pool"]);
-            for said in [$(Said::$said $(($start))?),+] {
-                say(&mut state, said);
+            for report in [$(Report::$report $(($start))?),+] {
+                apply_report(&mut state, report);
             }
             let left = state.instances().get("r");
-            assert_eq!(left.map(|one| (one.start.0, one.is_draining)), $left);
-            assert!(left.is_none_or(|one| one.service == "pool" && one.address == "1:1"));
+            assert_eq!(left.map(|instance| (instance.start.0, instance.is_draining)), $left);
+            assert!(left.is_none_or(|instance| instance.service == "pool" && instance.address == "1:1"));
         }
     )*};
 }
@@ -299,36 +301,36 @@
 orders_of_arrival! {
     a_later_start_replaces_the_earlier_one: Ready(1), Ready(2) => Some((2, false));
     a_late_heartbeat_of_the_earlier_start: Ready(1), Ready(2), Ready(1) => Some((2, false));
-    the_earlier_start_is_heard_first_after_the_later_one: Ready(2), Ready(1) => Some((2, false));
+    an_earlier_start_arrives_after_the_later_one: Ready(2), Ready(1) => Some((2, false));
     draining_ends_with_the_incarnation: Draining(1), Ready(2) => Some((2, false));
     a_late_draining_of_the_earlier_start: Ready(2), Draining(1) => Some((2, false));
-    a_late_departure_of_the_earlier_start: Ready(1), Ready(2), Left(1) => Some((2, false));
-    a_departure_before_the_next_start: Ready(1), Left(1), Ready(2) => Some((2, false));
-    a_departed_start_stays_away: Ready(1), Left(1), Ready(1) => None;
-    a_departure_is_heard_before_the_heartbeat: Left(2), Ready(2) => None;
-    an_earlier_departure_is_heard_first: Left(1), Ready(2) => Some((2, false));
-    a_departure_ends_all_earlier_starts: Ready(2), Left(2), Ready(1) => None;
-    a_later_departure_ends_the_earlier_start: Ready(1), Left(2) => None;
-    an_unnamed_departure_ends_whom_it_finds: Ready(1), Ready(2), LeftUnnamed, Ready(2) => None;
-    an_unnamed_departure_spares_the_next_start: Ready(1), LeftUnnamed, Ready(2) => Some((2, false));
-    silence_of_the_earlier_start: Ready(1), Ready(2), Silent(1) => Some((2, false));
-    silence_and_back: Ready(2), Silent(2), Ready(2) => Some((2, false));
-    silence_and_the_next_start: Ready(1), Silent(1), Ready(2) => Some((2, false));
-    silence_of_a_draining_start: Draining(1), Silent(1), Ready(1) => None;
-    after_silence_a_start_that_a_stepped_clock_dates_back: Ready(2), Silent(2), Ready(1) => Some((1, false));
-    without_a_start_nothing_of_a_started_one_changes: Ready(2), Draining(0), Ready(0) => Some((2, false));
+    a_late_departure_of_the_earlier_start: Ready(1), Ready(2), Departed(1) => Some((2, false));
+    a_departure_before_the_next_start: Ready(1), Departed(1), Ready(2) => Some((2, false));
+    a_departed_start_stays_away: Ready(1), Departed(1), Ready(1) => None;
+    a_departure_arrives_before_the_heartbeat: Departed(2), Ready(2) => None;
+    an_earlier_departure_arrives_first: Departed(1), Ready(2) => Some((2, false));
+    a_departure_removes_all_earlier_starts: Ready(2), Departed(2), Ready(1) => None;
+    a_later_departure_removes_the_earlier_start: Ready(1), Departed(2) => None;
+    a_departure_without_a_start_removes_the_known_one: Ready(1), Ready(2), DepartedWithoutStart, Ready(2) => None;
+    a_departure_without_a_start_allows_the_next_one: Ready(1), DepartedWithoutStart, Ready(2) => Some((2, false));
+    timeout_of_the_earlier_start: Ready(1), Ready(2), TimedOut(1) => Some((2, false));
+    timeout_and_return: Ready(2), TimedOut(2), Ready(2) => Some((2, false));
+    timeout_and_the_next_start: Ready(1), TimedOut(1), Ready(2) => Some((2, false));
+    timeout_of_a_draining_start: Draining(1), TimedOut(1), Ready(1) => None;
+    an_earlier_start_after_a_timeout: Ready(2), TimedOut(2), Ready(1) => Some((1, false));
+    reports_without_a_start_do_not_change_a_known_one: Ready(2), Draining(0), Ready(0) => Some((2, false));
     a_start_is_learned_later: Ready(0), Ready(2) => Some((2, false));
-    another_writer_names_an_undeclared_service: Ready(1), Undeclared(1) => Some((1, false));
-    another_writer_invents_a_later_start: Ready(1), Undeclared(7), Ready(1) => Some((1, false));
-    another_writer_comes_first: Undeclared(1), Ready(1) => Some((1, false));
-    another_writer_comes_first_with_a_start_that_never_was: Undeclared(7), Silent(7), Ready(1) => Some((1, false));
-    another_writer_goes_on_with_a_start_that_never_was: Undeclared(7), Ready(1), Undeclared(7) => Some((1, false));
-    another_writer_names_another_address: Ready(1), Elsewhere(1) => Some((1, false));
+    an_external_writer_uses_an_undeclared_service: Ready(1), Undeclared(1) => Some((1, false));
+    an_external_writer_uses_a_later_start: Ready(1), Undeclared(7), Ready(1) => Some((1, false));
+    an_external_writer_comes_first: Undeclared(1), Ready(1) => Some((1, false));
+    an_external_writer_comes_first_with_a_false_start: Undeclared(7), TimedOut(7), Ready(1) => Some((1, false));
+    an_external_writer_continues_with_a_false_start: Undeclared(7), Ready(1), Undeclared(7) => Some((1, false));
+    an_external_writer_uses_another_address: Ready(1), Elsewhere(1) => Some((1, false));
 }
 
-/// Another writer's word at the address of a live replica must not end that one for good.
+/// An external writer must not remove a live replica at the same address.
 #[test]
-fn an_undeclared_service_takes_no_address_of_a_declared_one() {
+fn a_replica_of_an_undeclared_service_takes_no_address_of_a_declared_one() {
     let mut state = declared(&["pool"]);
     register(&mut state, "r", "1:1");
     let other = Instance { service: "nobody".to_owned(), ..instance("x", "1:1") };
@@ -341,21 +343,19 @@
     assert_eq!(state.registration_status(&other), RegistrationStatus::New);
 }
 
-/// Replicas may be heard of before the document that declares their service.
+/// Replicas may register before the document declares their service.
 #[test]
-fn an_undeclared_service_is_registered_where_it_ends_nobody() {
+fn a_replica_of_an_undeclared_service_is_registered_at_a_free_address() {
     let mut state = declared(&["pool"]);
     let early = Instance { service: "next".to_owned(), ..instance("n", "2:2") };
     state.apply(FleetCommand::Register(early.clone()));
     assert_eq!(state.registration_status(&early), RegistrationStatus::Unchanged);
 }
 
-/// A replica starts, crashes before its first heartbeat arrives, and its successor registers at the same address. Then the first heartbeat
-/// arrives, which a cut had delayed. Nothing was known of its sender, so that it was taken for a newcomer, and took the address: the
-/// successor was gone for good, and requests went to an identifier that nobody answers to. Both say when they started, and at one address
-/// the one that started later is there.
+/// A replica crashes before its first heartbeat arrives. The delayed heartbeat must not remove its
+/// successor at the same address.
 #[test]
-fn a_late_first_heartbeat_of_a_life_that_was_never_known_takes_no_address() {
+fn a_delayed_first_heartbeat_of_an_unknown_replica_takes_no_address() {
     let mut state = FleetState::default();
     let started = |id: &str, start: u64| Instance { start: Start(start), ..instance(id, "1:1") };
     state.apply(FleetCommand::Register(started("successor", 2_000)));
@@ -363,27 +363,26 @@
     assert_eq!(state.registration_status(&late), RegistrationStatus::Superseded);
     state.apply(FleetCommand::Register(late.clone()));
     assert_eq!(ids(&state), ["successor"]);
-    // Elsewhere it is a replica like any other, and so is one that started later.
+    // At another address it is registered, and so is a later start at the same address.
     let elsewhere = Instance { address: "2:2".to_owned(), ..late };
     assert_eq!(state.registration_status(&elsewhere), RegistrationStatus::New);
     state.apply(FleetCommand::Register(started("next", 3_000)));
     assert_eq!(ids(&state), ["next"]);
-    // Who says no start is told apart by nothing.
+    // Without a start, the latest heartbeat counts.
     register(&mut state, "startless", "1:1");
     assert_eq!(ids(&state), ["startless"]);
 }
 
-/// The clock of a machine was set back: a replica that starts there anew names an earlier start than the one before it. It
-/// comes in as soon as that one has fallen silent.
+/// A replica with a slow clock gives an earlier start than its predecessor.
 #[test]
-fn a_newcomer_whose_clock_stepped_back_comes_in_once_the_one_before_is_silent() {
+fn a_new_replica_with_a_slow_clock_registers_after_its_predecessor_times_out() {
     let mut state = FleetState::default();
     let started = |id: &str, start: u64| Instance { start: Start(start), ..instance(id, "1:1") };
     state.apply(FleetCommand::Register(started("before", 2_000)));
-    let newcomer = started("newcomer", 1_000);
-    assert_eq!(state.registration_status(&newcomer), RegistrationStatus::Superseded);
+    let new_replica = started("newcomer", 1_000);
+    assert_eq!(state.registration_status(&new_replica), RegistrationStatus::Superseded);
     state.apply(FleetCommand::ExpireIncarnation("before".to_owned(), Start(2_000)));
-    assert_eq!(state.registration_status(&newcomer), RegistrationStatus::New);
-    state.apply(FleetCommand::Register(newcomer));
+    assert_eq!(state.registration_status(&new_replica), RegistrationStatus::New);
+    state.apply(FleetCommand::Register(new_replica));
     assert_eq!(ids(&state), ["newcomer"]);
 }
--- a/crates/control/tests/fleet_world/mod.rs
+++ b/crates/control/tests/fleet_world/mod.rs
@@ -19,43 +19,43 @@
 pub const HEARTBEAT: Duration = Duration::from_millis(1_200);
 pub const LOAD: Duration = Duration::from_millis(630);
 pub const REPORT_LAG: Duration = Duration::from_millis(200);
-pub const SPREAD: Duration = Duration::from_secs(8);
+pub const DEADLINE: Duration = Duration::from_secs(8);
 pub const LEASE: Duration = Duration::from_secs(3);
 pub const MODEL: &str = "model";
 
-/// How a simulated replica takes orders.
+/// How a simulated replica handles orders.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
-    Obeys,
+pub enum Behavior {
+    Normal,
     Refuses,
-    /// Says that another holder has used a higher fence.
+    /// Responds that another leader has used a higher fence.
     Fences,
-    /// The first order gets no answer and is carried out late.
+    /// Does not respond to the first order and carries it out late.
     LateOnce,
-    /// Orders get no answer and are not carried out.
-    Mute,
-    /// Says that another order is under way.
+    /// Neither responds to orders nor carries them out.
+    IgnoresOrders,
+    /// Responds that another order is in progress.
     Conflicts,
-    /// Takes an order and never ends its load.
+    /// Accepts orders and never finishes loading.
     Hangs,
 }
 
 pub struct Replica {
-    pub manner: Manner,
+    pub behavior: Behavior,
     pub version: u32,
     pub sequence: u64,
     pub loading: Option<(u32, Time)>,
     pub late: Option<(WeightsOrder, Time)>,
     pub heartbeat_at: Time,
     pub is_silent: bool,
-    pub versions_seen: Vec<u32>,
+    pub loaded_versions: Vec<u32>,
     pub reported: (u32, bool, u64),
     pub changed_at: Time,
-    /// When its incarnation started.
+    /// Start of its incarnation.
     pub start: Start,
     /// Heartbeats of this incarnation.
     pub count: u64,
-    /// Time that it takes to load.
+    /// Duration of a load.
     pub load: Duration,
     pub model: String,
     pub service: String,
@@ -68,20 +68,20 @@
     pub responses: BTreeMap<Token, Response>,
     pub replicas: BTreeMap<String, Replica>,
     pub orders: Vec<(Time, WeightsOrder)>,
-    pub most_loading: usize,
-    pub led_at: Option<Time>,
-    /// What the leader made of word of weights.
-    pub heard: Vec<WeightsEvent>,
-    /// How many may load at a time without slowing each other down, where their store is the limit.
-    pub store_loads: usize,
-    /// What the leader planned, and when.
+    pub max_loading: usize,
+    pub leader_since: Option<Time>,
+    /// Changes of the leader's weights records.
+    pub weights_events: Vec<WeightsEvent>,
+    /// Concurrent loads above this number slow each other down.
+    pub max_full_speed_loads: usize,
+    /// The leader's plans, with their times.
     pub plans: Vec<(Time, RolloutEvent)>,
-    /// Replicas that leave questions unanswered.
-    pub deaf: BTreeSet<String>,
-    pub questions: usize,
-    /// Replicas whose answers ask something, and turn down what they answer.
-    pub unwilling: BTreeMap<String, Pushback>,
-    /// When which replica was called, with a question or an order.
+    /// Replicas that do not respond to queries.
+    pub ignores_queries: BTreeSet<String>,
+    pub queries: usize,
+    /// Replicas that refuse queries and orders with this pushback.
+    pub pushbacks: BTreeMap<String, Pushback>,
+    /// Times and replicas of all queries and orders.
     pub calls: Vec<(Time, String)>,
     settings: MemberSettings,
 }
@@ -102,7 +102,7 @@
 impl World {
     pub fn new(replicas: usize) -> Self {
         let rollout =
-            RolloutSettings { lease: LEASE, deadline: SPREAD, ..RolloutSettings::default() };
+            RolloutSettings { lease: LEASE, deadline: DEADLINE, ..RolloutSettings::default() };
         World::with(replicas, rollout)
     }
 
@@ -126,33 +126,33 @@
             responses: BTreeMap::new(),
             replicas: BTreeMap::new(),
             orders: Vec::new(),
-            most_loading: 0,
-            led_at: None,
-            heard: Vec::new(),
+            max_loading: 0,
+            leader_since: None,
+            weights_events: Vec::new(),
             plans: Vec::new(),
-            store_loads: usize::MAX,
-            deaf: BTreeSet::new(),
-            questions: 0,
-            unwilling: BTreeMap::new(),
+            max_full_speed_loads: usize::MAX,
+            ignores_queries: BTreeSet::new(),
+            queries: 0,
+            pushbacks: BTreeMap::new(),
             calls: Vec::new(),
             settings,
         };
         for number in 0..replicas {
-            world.add(&format!("r{number:02}"), Manner::Obeys);
+            world.add(&format!("r{number:02}"), Behavior::Normal);
         }
         world
     }
 
-    pub fn add(&mut self, id: &str, manner: Manner) {
+    pub fn add(&mut self, id: &str, behavior: Behavior) {
         let replica = Replica {
-            manner,
+            behavior,
             version: 1,
             sequence: 0,
             loading: None,
             late: None,
             heartbeat_at: self.now,
             is_silent: false,
-            versions_seen: Vec::new(),
+            loaded_versions: Vec::new(),
             reported: (1, false, 0),
             changed_at: self.now,
             start: Start::UNSAID,
@@ -164,11 +164,11 @@
         self.replicas.insert(id.to_owned(), replica);
     }
 
-    /// The member starts again, and leads in a new term with nothing but its disk.
+    /// Restarts the member, which leads in a new term from its disk.
     pub fn change_leader(&mut self) {
         let disk = self.member.disk().clone();
         self.member = Member::open(disk, self.settings.clone(), None, self.now).unwrap();
-        self.led_at = None;
+        self.leader_since = None;
     }
 
     pub fn send(&mut self, request: FleetRequest) -> Token {
@@ -186,7 +186,7 @@
             }
             self.run_for(STEP);
         }
-        panic!("no answer");
+        panic!("no response");
     }
 
     pub fn step(&mut self, inputs: Vec<MemberInput>) {
@@ -201,12 +201,12 @@
                 | MemberOutput::Notify(..)
                 | MemberOutput::RequestJoin(..)
                 | MemberOutput::Membership(_) => {}
-                MemberOutput::Weights(event) => self.heard.push(event),
+                MemberOutput::Weights(event) => self.weights_events.push(event),
                 MemberOutput::Rollout(event) => self.plans.push((self.now, event)),
             }
         }
-        if self.led_at.is_none() && self.member.replica().has_lease(self.now) {
-            self.led_at = Some(self.now);
+        if self.leader_since.is_none() && self.member.replica().has_lease(self.now) {
+            self.leader_since = Some(self.now);
         }
     }
 
@@ -216,7 +216,7 @@
             FleetAction::Query { instance, start, .. } => (instance.clone(), *start),
         };
         self.calls.push((self.now, id.clone()));
-        if let Some(said) = self.unwilling.get(&id).copied() {
+        if let Some(said) = self.pushbacks.get(&id).copied() {
             let pushback = ActionReport::Pushback(id.clone(), start, said);
             self.send(FleetRequest::ActionEnded(pushback));
             let ended = match action {
@@ -229,12 +229,13 @@
         let report = match action {
             FleetAction::Order(order) => {
                 self.orders.push((self.now, order.clone()));
-                let loading = self.replicas.values().filter(|one| one.loading.is_some()).count();
-                let share = (loading + 1).div_ceil(self.store_loads).max(1) as u32;
+                let loading =
+                    self.replicas.values().filter(|replica| replica.loading.is_some()).count();
+                let share = (loading + 1).div_ceil(self.max_full_speed_loads).max(1) as u32;
                 let replica = self.replicas.get_mut(&order.instance).unwrap();
                 let alone = replica.load;
                 replica.load = alone * share;
-                let end = replica.take(self.now, order.clone());
+                let end = replica.on_order(self.now, order.clone());
                 replica.load = alone;
                 ActionReport::Order(order.instance, order.start, end)
             }
@@ -243,9 +244,9 @@
                 let (version, is_busy, sequence) = replica.reported;
                 let models = vec![LoadedModel { model: replica.model.clone(), version }];
                 let report = ReplicaReport { models, is_busy, sequence, start: replica.start };
-                self.questions += 1;
-                let is_deaf = self.deaf.contains(&instance);
-                ActionReport::Query(instance, (!is_deaf).then_some(report))
+                self.queries += 1;
+                let ignores_query = self.ignores_queries.contains(&instance);
+                ActionReport::Query(instance, (!ignores_query).then_some(report))
             }
         };
         self.send(FleetRequest::ActionEnded(report));
@@ -256,7 +257,7 @@
         self.send(FleetRequest::Heartbeat(report));
     }
 
-    /// What a replica says next, for whoever delivers it.
+    /// A replica's next heartbeat, to be delivered by the caller.
     pub fn next_heartbeat(&mut self, id: &str) -> InstanceReport {
         let replica = self.replicas.get_mut(id).unwrap();
         replica.count += 1;
@@ -266,18 +267,19 @@
         InstanceReport { instance, models, sequence: replica.count }
     }
 
-    /// Adds a replica that says when it started.
+    /// Adds a replica with a start.
     pub fn add_started(&mut self, id: &str, start: u64) {
-        self.add(id, Manner::Obeys);
+        self.add(id, Behavior::Normal);
         self.replicas.get_mut(id).unwrap().start = Start(start);
     }
 
-    /// A replica crashes and starts again under its identifier with a version of the weights. It knows nothing of before.
+    /// Crashes and restarts a replica under its identifier, with the given weights and no other
+    /// state.
     pub fn restart(&mut self, id: &str, start: u64, version: u32) {
         let before = self.replicas.remove(id).unwrap();
-        self.add(id, before.manner);
+        self.add(id, before.behavior);
         let replica = self.replicas.get_mut(id).unwrap();
-        // An order on its way reaches whoever lives there by then.
+        // A delayed order reaches the next incarnation.
         replica.late = before.late;
         (replica.load, replica.model, replica.service) =
             (before.load, before.model, before.service);
@@ -299,19 +301,20 @@
                     due.push(id.clone());
                 }
             }
-            let loading = self.replicas.values().filter(|one| one.loading.is_some()).count();
-            self.most_loading = self.most_loading.max(loading);
+            let loading =
+                self.replicas.values().filter(|replica| replica.loading.is_some()).count();
+            self.max_loading = self.max_loading.max(loading);
             due.iter().for_each(|id| self.heartbeat(id));
             self.step(Vec::new());
         }
     }
 
-    /// Names a version as operators do: again, where the member does not lead at that moment.
-    pub fn name(&mut self, version: u32) {
-        self.name_for(MODEL, version);
+    /// Publishes a version; repeated while the member is not the leader.
+    pub fn publish(&mut self, version: u32) {
+        self.publish_for(MODEL, version);
     }
 
-    pub fn name_for(&mut self, model: &str, version: u32) {
+    pub fn publish_for(&mut self, model: &str, version: u32) {
         let request = FleetRequest::PublishWeights { model: model.to_owned(), version };
         while self.ask(request.clone()) != Response::Fleet(FleetResponse::Done) {
             self.run_for(STEP);
@@ -339,25 +342,25 @@
 }
 
 impl Replica {
-    pub fn take(&mut self, now: Time, order: WeightsOrder) -> OrderOutcome {
-        match self.manner {
-            Manner::Refuses => OrderOutcome::Refused,
-            Manner::Mute => OrderOutcome::Unknown,
-            Manner::Conflicts => OrderOutcome::Conflict,
-            Manner::Hangs => {
+    pub fn on_order(&mut self, now: Time, order: WeightsOrder) -> OrderOutcome {
+        match self.behavior {
+            Behavior::Refuses => OrderOutcome::Refused,
+            Behavior::IgnoresOrders => OrderOutcome::Unknown,
+            Behavior::Conflicts => OrderOutcome::Conflict,
+            Behavior::Hangs => {
                 let _ = self.carry_out(now, &order);
                 if let Some((_, at)) = &mut self.loading {
                     *at = now + Duration::from_secs(10_000);
                 }
                 OrderOutcome::Accepted
             }
-            Manner::Fences => OrderOutcome::Fenced,
-            Manner::LateOnce => {
-                self.manner = Manner::Obeys;
+            Behavior::Fences => OrderOutcome::Fenced,
+            Behavior::LateOnce => {
+                self.behavior = Behavior::Normal;
                 self.late = Some((order, now + Duration::from_secs(4)));
                 OrderOutcome::Unknown
             }
-            Manner::Obeys => self.carry_out(now, &order),
+            Behavior::Normal => self.carry_out(now, &order),
         }
     }
 
@@ -385,7 +388,7 @@
             self.loading = None;
             self.version = version;
             self.changed_at = now;
-            self.versions_seen.push(version);
+            self.loaded_versions.push(version);
         }
         if now >= self.changed_at + REPORT_LAG {
             self.reported = (self.version, self.loading.is_some(), self.sequence);
--- a/crates/control/tests/starts.rs
+++ b/crates/control/tests/gateway_startup.rs
@@ -1,5 +1,5 @@
-//! Gateways that start together where replicas are registered already, as after a loss of all power: how much each is told at
-//! once, and what it costs them that answers are lost. Growth is asserted, not figures.
+//! Gateways that start together with many registered replicas, as after a power loss: size of the
+//! responses, and cost of lost ones.
 
 mod common;
 
@@ -13,21 +13,21 @@
 use topazmount_types::{Instance, Start};
 
 const HOSTS: [Host; 3] = [1, 2, 3];
-const SETTLING: Duration = Duration::from_secs(8);
+const ELECTION_TIME: Duration = Duration::from_secs(8);
 const STEP: Duration = Duration::from_millis(10);
 const HOLD: Duration = Duration::from_millis(400);
-/// Within which all must know all: more than they need.
+/// Time within which all gateways must know all replicas.
 const LIMIT: Duration = Duration::from_secs(20);
-/// What is the same at all sizes may differ by this: other numbers have other lengths.
+/// Tolerance for sizes that should be equal; numbers differ in length.
 const SLACK: f64 = 1.2;
 
-/// What they were told.
+/// Bytes sent to gateways.
 #[derive(Debug, Default)]
-struct Told {
+struct Sent {
     bytes: usize,
-    /// Of replicas alone.
-    largest_answer: usize,
-    /// Most bytes that were made at one moment: a member holds them until they are sent.
+    /// Without gateway lists.
+    largest_response: usize,
+    /// Maximum bytes sent in one step, which a member holds in memory.
     largest_step: usize,
 }
 
@@ -37,8 +37,8 @@
     seen: SeenVersions,
     token: Option<Token>,
     replicas: BTreeSet<String>,
-    /// Replicas that it knew of when it heard what is believed of them.
-    believed: BTreeSet<String>,
+    /// Replicas with a received status.
+    with_status: BTreeSet<String>,
 }
 
 impl Gateway {
@@ -59,18 +59,18 @@
         }))
     }
 
-    fn read(&mut self, view: &FleetView) {
+    fn apply(&mut self, view: &FleetView) {
         if view.revision > self.seen.revision {
-            self.replicas.extend(view.instances.iter().map(|one| one.id.clone()));
+            self.replicas.extend(view.instances.iter().map(|entry| entry.id.clone()));
             self.seen.revision = view.revision;
         }
         if let Some((count, statuses)) = &view.statuses {
             self.seen.statuses = *count;
-            let known = statuses.iter().filter(|one| self.replicas.contains(&one.id));
-            self.believed.extend(known.map(|one| one.id.clone()));
+            let known = statuses.iter().filter(|entry| self.replicas.contains(&entry.id));
+            self.with_status.extend(known.map(|entry| entry.id.clone()));
         }
-        if let Some(news) = &view.gateways {
-            self.seen.gateways = news.count;
+        if let Some(update) = &view.gateways {
+            self.seen.gateways = update.count;
         }
     }
 }
@@ -91,13 +91,13 @@
     InstanceReport { instance, models, sequence: 0 }
 }
 
-/// All gateways ask at once; of `lost_of` answers one is lost.
-fn start_together(gateways: usize, replicas: usize, lost_of: Option<usize>) -> Told {
-    let mut world = World::found(&HOSTS);
-    world.until("a leader", SETTLING, |world| world.leader().is_some());
+/// All gateways send requests at once; one of `lost_of` responses is lost.
+fn start_together(gateways: usize, replicas: usize, lost_of: Option<usize>) -> Sent {
+    let mut world = World::new(&HOSTS);
+    world.run_until("a leader", ELECTION_TIME, |world| world.leader().is_some());
     let leader = world.leader().unwrap();
     for number in 0..replicas {
-        world.ask(leader, Request::Fleet(FleetRequest::Heartbeat(replica(number)))).unwrap();
+        world.request(leader, Request::Fleet(FleetRequest::Heartbeat(replica(number)))).unwrap();
         if number % 100 == 99 {
             world.run(STEP);
         }
@@ -105,63 +105,67 @@
     world.run(Duration::from_secs(1));
     let mut all: Vec<Gateway> =
         (0..gateways).map(|number| Gateway { number, ..Gateway::default() }).collect();
-    let mut told = Told::default();
-    let mut answers = 0;
+    let mut sent = Sent::default();
+    let mut responses = 0;
     let end = world.now + LIMIT;
-    let is_whole = |one: &Gateway| one.replicas.len() == replicas && one.believed.len() == replicas;
-    while !all.iter().all(is_whole) {
-        assert!(world.now < end, "not all know all: {told:?}");
-        // Replicas go on living.
-        for number in (0..replicas).filter(|number| number % 50 == answers % 50) {
-            world.ask(leader, Request::Fleet(FleetRequest::Heartbeat(replica(number)))).unwrap();
+    let is_complete = |gateway: &Gateway| {
+        gateway.replicas.len() == replicas && gateway.with_status.len() == replicas
+    };
+    while !all.iter().all(is_complete) {
+        assert!(world.now < end, "not all gateways are up to date: {sent:?}");
+        // Replicas keep sending heartbeats.
+        for number in (0..replicas).filter(|number| number % 50 == responses % 50) {
+            world
+                .request(leader, Request::Fleet(FleetRequest::Heartbeat(replica(number))))
+                .unwrap();
         }
         let mut step = 0;
         for gateway in &mut all {
-            let answer = gateway.token.and_then(|token| world.answer(token));
-            if let Some(Response::Fleet(FleetResponse::View(view))) = answer {
-                answers += 1;
+            let response = gateway.token.and_then(|token| world.take_response(token));
+            if let Some(Response::Fleet(FleetResponse::View(view))) = response {
+                responses += 1;
                 let bytes = rmp_serde::to_vec(&view).unwrap().len();
                 step += bytes;
-                if lost_of.is_none_or(|lost_of| answers % lost_of != 0) {
-                    gateway.read(&view);
+                if lost_of.is_none_or(|lost_of| responses % lost_of != 0) {
+                    gateway.apply(&view);
                 }
-                // A gateway has to know as many others as there are.
-                let of_replicas = FleetView { gateways: None, ..*view };
-                let of_replicas = rmp_serde::to_vec(&of_replicas).unwrap().len();
-                told.largest_answer = told.largest_answer.max(of_replicas);
+                // The size of the gateway list depends on the number of gateways.
+                let without_gateways = FleetView { gateways: None, ..*view };
+                let without_gateways = rmp_serde::to_vec(&without_gateways).unwrap().len();
+                sent.largest_response = sent.largest_response.max(without_gateways);
                 gateway.token = None;
             }
             if gateway.token.is_none() {
-                gateway.token = world.ask(leader, gateway.request());
+                gateway.token = world.request(leader, gateway.request());
             }
         }
-        told.bytes += step;
-        told.largest_step = told.largest_step.max(step);
+        sent.bytes += step;
+        sent.largest_step = sent.largest_step.max(step);
         world.run(STEP);
     }
-    told
+    sent
 }
 
 #[test]
-fn an_answer_and_a_step_are_bounded_whatever_the_size() {
+fn response_size_and_work_per_step_are_bounded_at_any_fleet_size() {
     let small = start_together(100, 1_000, None);
     let large = start_together(300, 3_000, None);
     println!("100: {small:?}\n300: {large:?}");
     let ratio = |large: usize, small: usize| large as f64 / small as f64;
-    let answer = ratio(large.largest_answer, small.largest_answer);
+    let response = ratio(large.largest_response, small.largest_response);
     let step = ratio(large.largest_step, small.largest_step);
     let each = ratio(large.bytes / 300, small.bytes / 100);
-    assert!(answer <= SLACK, "the largest answer grew {answer:.2} times");
-    assert!(step <= SLACK, "the most at a time grew {step:.2} times");
-    assert!(each <= 3.0 * SLACK, "each was told {each:.2} times as much of 3 times the replicas");
+    assert!(response <= SLACK, "the largest response grew {response:.2} times");
+    assert!(step <= SLACK, "the maximum per step grew {step:.2} times");
+    assert!(each <= 3.0 * SLACK, "each received {each:.2} times as much with 3 times the replicas");
 }
 
-/// Where everything is in one answer, one that is lost is told anew as a whole.
+/// With everything in one response, a lost one would be sent again as a whole.
 #[test]
-fn lost_answers_cost_no_more_than_their_share() {
-    let whole = start_together(60, 3_000, None);
+fn lost_responses_cost_only_their_share() {
+    let lossless = start_together(60, 3_000, None);
     let lossy = start_together(60, 3_000, Some(3));
-    println!("none lost: {whole:?}\none of 3 lost: {lossy:?}");
-    let ratio = lossy.bytes as f64 / whole.bytes as f64;
+    println!("none lost: {lossless:?}\none of 3 lost: {lossy:?}");
+    let ratio = lossy.bytes as f64 / lossless.bytes as f64;
     assert!(ratio <= 1.5 * SLACK, "{ratio:.2} times as much with a third lost");
 }
--- a/crates/control/tests/heartbeats.rs
+++ b/crates/control/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that any member answers, of which the leader hears together.
+//! Heartbeats that any member answers and forwards to the leader in batches.
 
 mod common;
 
@@ -8,9 +8,9 @@
 use topazmount_types::{Instance, Start};
 
 const HOSTS: [Host; 3] = [1, 2, 3];
-const SETTLING: Duration = Duration::from_secs(8);
+const ELECTION_TIME: Duration = Duration::from_secs(8);
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
-const MOMENT: Duration = Duration::from_millis(100);
+const RESPONSE_TIME: Duration = Duration::from_millis(100);
 
 fn report(id: &str, is_draining: bool) -> Request {
     let instance = Instance {
@@ -30,33 +30,33 @@
     }))
 }
 
-struct Story {
+struct Scenario {
     world: World,
     leader: Host,
     follower: Host,
 }
 
-impl Story {
-    /// A group with a replica that is registered.
+impl Scenario {
+    /// A group with a registered replica.
     fn new() -> Self {
-        let mut world = World::found(&HOSTS);
-        world.until("a leader", SETTLING, |world| world.leader().is_some());
+        let mut world = World::new(&HOSTS);
+        world.run_until("a leader", ELECTION_TIME, |world| world.leader().is_some());
         let leader = world.leader().unwrap();
         let follower = HOSTS.into_iter().find(|host| *host != leader).unwrap();
-        let mut story = Story { world, leader, follower };
-        assert!(story.is_done(leader, report("r", false)));
-        story
+        let mut scenario = Scenario { world, leader, follower };
+        assert!(scenario.is_done(leader, report("r", false)));
+        scenario
     }
 
-    fn answer(&mut self, host: Host, request: Request) -> Option<Response> {
-        let token = self.world.ask(host, request)?;
-        self.world.run(MOMENT);
-        self.world.answer(token)
+    fn response(&mut self, host: Host, request: Request) -> Option<Response> {
+        let token = self.world.request(host, request)?;
+        self.world.run(RESPONSE_TIME);
+        self.world.take_response(token)
     }
 
     fn is_done(&mut self, host: Host, request: Request) -> bool {
-        let answer = self.answer(host, request);
-        answer == Some(Response::Fleet(FleetResponse::Done))
+        let response = self.response(host, request);
+        response == Some(Response::Fleet(FleetResponse::Done))
     }
 
     fn is_registered(&self) -> bool {
@@ -66,45 +66,45 @@
 }
 
 cases! {
-    a_replica_that_only_a_follower_hears_stays => {
-        let mut story = Story::new();
+    a_replica_that_contacts_only_a_follower_stays_registered => {
+        let mut scenario = Scenario::new();
         for _ in 0..12 {
-            assert!(story.is_done(story.follower, report("r", false)));
-            story.world.run(HEARTBEAT);
-            assert!(story.is_registered());
+            assert!(scenario.is_done(scenario.follower, report("r", false)));
+            scenario.world.run(HEARTBEAT);
+            assert!(scenario.is_registered());
         }
-        story.world.run(SETTLING);
-        assert!(!story.is_registered(), "one that nobody hears goes");
+        scenario.world.run(ELECTION_TIME);
+        assert!(!scenario.is_registered(), "a replica without heartbeats is removed");
     }
 
-    what_says_something_new_is_for_the_leader => {
-        let mut story = Story::new();
+    heartbeats_with_changes_are_redirected_to_the_leader => {
+        let mut scenario = Scenario::new();
         for request in [report("r", true), report("other", false)] {
-            let answer = story.answer(story.follower, request);
-            assert!(matches!(answer, Some(Response::NotLeader(_))), "{answer:?}");
+            let response = scenario.response(scenario.follower, request);
+            assert!(matches!(response, Some(Response::NotLeader(_))), "{response:?}");
         }
     }
 
-    a_follower_that_is_cut_off_answers_for_a_moment_only => {
-        let mut story = Story::new();
-        let others = HOSTS.into_iter().filter(|host| *host != story.follower);
+    an_isolated_follower_stops_answering => {
+        let mut scenario = Scenario::new();
+        let others = HOSTS.into_iter().filter(|host| *host != scenario.follower);
         for other in others.collect::<Vec<Host>>() {
-            story.world.cut(story.follower, other);
+            scenario.world.cut(scenario.follower, other);
         }
-        story.world.run(Duration::from_secs(2));
-        let answer = story.answer(story.follower, report("r", false));
-        assert!(matches!(answer, Some(Response::NotLeader(_))), "{answer:?}");
-        // What it answered before the cut and could not tell counts from then, not from the time it is heard.
-        story.world.run(SETTLING);
-        assert!(!story.is_registered());
+        scenario.world.run(Duration::from_secs(2));
+        let response = scenario.response(scenario.follower, report("r", false));
+        assert!(matches!(response, Some(Response::NotLeader(_))), "{response:?}");
+        // Heartbeats answered before the cut count from then, not from the time of forwarding.
+        scenario.world.run(ELECTION_TIME);
+        assert!(!scenario.is_registered());
     }
 
-    a_replica_that_left_is_told_so_by_a_follower => {
-        let mut story = Story::new();
+    a_follower_reports_a_departed_replica_as_superseded => {
+        let mut scenario = Scenario::new();
         let depart = Request::Fleet(FleetRequest::Depart("r".to_owned(), Start::UNSAID));
-        assert!(story.is_done(story.leader, depart));
-        story.world.run(MOMENT * 5);
-        let answer = story.answer(story.follower, report("r", false));
-        assert_eq!(answer, Some(Response::Fleet(FleetResponse::Superseded)));
+        assert!(scenario.is_done(scenario.leader, depart));
+        scenario.world.run(RESPONSE_TIME * 5);
+        let response = scenario.response(scenario.follower, report("r", false));
+        assert_eq!(response, Some(Response::Fleet(FleetResponse::Superseded)));
     }
 }
--- a/crates/control/tests/incarnations.rs
+++ b/crates/control/tests/incarnations.rs
@@ -1,10 +1,9 @@
-//! Random series of what happens to replicas that start again under their identifier, and a promise for each.
-//!
-//! `INCARNATION_SEEDS=A..B` chooses the seeds. A seed replays exactly.
+//! Random events for replicas that restart under their identifier. `INCARNATION_SEEDS=A..B` sets
+//! the seeds; a seed is reproducible.
 
 mod fleet_world;
 
-use fleet_world::{HEARTBEAT, Manner, SPREAD, World};
+use fleet_world::{Behavior, DEADLINE, HEARTBEAT, World};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -16,107 +15,107 @@
 use topazmount_types::{Start, Time};
 
 const REPLICAS: u64 = 7;
-/// Seeds that are played where none are chosen: some 6 s in a debug build.
+/// Default seeds.
 const SEEDS: Range<u64> = 0..60;
-/// Things that happen in a series.
+/// Events per run.
 const STEPS: usize = 60;
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(100);
-/// Time within which a registered replica is listed again after it was heard.
-const LISTED_WITHIN: Duration = Duration::from_secs(1);
-/// Time for the leader to be there again, and to give orders: a lease after it begins.
-const CALM: Duration = Duration::from_secs(6);
+/// Interval between two checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time within which a replica is registered after its heartbeat.
+const REGISTRATION_TIME: Duration = Duration::from_secs(1);
+/// Time for the leader to recover and to give orders, which takes a lease.
+const LEADER_RECOVERY: Duration = Duration::from_secs(6);
 
-/// What may happen.
+/// An event.
 #[derive(Clone, Copy, Debug)]
-enum Blow {
-    /// A replica crashes and starts again some moments later, on weights not newer than before.
+enum Event {
+    /// A replica crashes and restarts shortly after, with the same or older weights.
     Restart,
-    /// The same right after an order to it was lost, which is carried out later, by whoever is there.
+    /// The same, after an order to it was delayed; the next incarnation carries it out.
     RestartWithLateOrder,
-    /// A heartbeat that was said before now comes in.
+    /// A delayed heartbeat arrives.
     LateHeartbeat,
-    /// Another writer speaks under a replica's identifier.
-    Foreign,
-    /// A newer version is named.
-    Name,
-    /// The leader is gone, another one has nothing but the log.
+    /// An external writer uses a replica's identifier.
+    ExternalWriter,
+    /// A newer version is published.
+    Publish,
+    /// The leader changes; the next one has only the log.
     ChangeLeader,
-    /// Nothing for a while.
-    Rest,
+    /// Nothing happens for a while.
+    Wait,
 }
 
-const BLOWS: [Blow; 9] = [
-    Blow::Restart,
-    Blow::Restart,
-    Blow::RestartWithLateOrder,
-    Blow::LateHeartbeat,
-    Blow::LateHeartbeat,
-    Blow::Foreign,
-    Blow::Name,
-    Blow::ChangeLeader,
-    Blow::Rest,
+const EVENTS: [Event; 9] = [
+    Event::Restart,
+    Event::Restart,
+    Event::RestartWithLateOrder,
+    Event::LateHeartbeat,
+    Event::LateHeartbeat,
+    Event::ExternalWriter,
+    Event::Publish,
+    Event::ChangeLeader,
+    Event::Wait,
 ];
 
-struct Series {
+struct Scenario {
     world: World,
     rng: ChaCha8Rng,
-    said: Vec<InstanceReport>,
+    old_heartbeats: Vec<InstanceReport>,
     newest: u32,
     /// When each version was acknowledged.
-    named: Vec<(u32, Time)>,
-    /// Replicas that are down, and when they start again with which version.
+    published: Vec<(u32, Time)>,
+    /// Stopped replicas: when they restart, and with which version.
     down: BTreeMap<String, (Time, u32)>,
     /// When the leader last changed.
-    led_since: Time,
+    leader_changed_at: Time,
     starts: u64,
 }
 
-impl Series {
+impl Scenario {
     fn new(seed: u64) -> Self {
         let mut world = World::new(0);
         world.run_for(Duration::from_secs(2));
         let services = vec!["pool".to_owned()];
         let document = Document { version: 1, bytes: Vec::new(), services };
-        let answer = world.ask(FleetRequest::PutDocument(document));
-        assert_eq!(answer, Response::Fleet(FleetResponse::Done));
+        let response = world.ask(FleetRequest::PutDocument(document));
+        assert_eq!(response, Response::Fleet(FleetResponse::Done));
         (0..REPLICAS).for_each(|number| world.add_started(&id(number), 1_000 + number));
         world.run_for(Duration::from_secs(10));
-        let led_since = world.now;
-        Series {
+        let leader_changed_at = world.now;
+        Scenario {
             world,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            said: Vec::new(),
+            old_heartbeats: Vec::new(),
             newest: 1,
-            named: Vec::new(),
+            published: Vec::new(),
             down: BTreeMap::new(),
-            led_since,
+            leader_changed_at,
             starts: 10_000,
         }
     }
 
-    fn pick(&mut self) -> String {
+    fn random_replica(&mut self) -> String {
         id(self.rng.random_range(0..REPLICAS))
     }
 
-    fn blow(&mut self) {
-        match BLOWS[self.rng.random_range(0..BLOWS.len())] {
-            Blow::Restart => self.crash(),
-            Blow::RestartWithLateOrder => {
-                let id = self.pick();
-                self.world.replicas.get_mut(&id).unwrap().manner = Manner::LateOnce;
+    fn apply_random_event(&mut self) {
+        match EVENTS[self.rng.random_range(0..EVENTS.len())] {
+            Event::Restart => self.crash_random_replica(),
+            Event::RestartWithLateOrder => {
+                let id = self.random_replica();
+                self.world.replicas.get_mut(&id).unwrap().behavior = Behavior::LateOnce;
                 self.run_for(Duration::from_millis(1_500));
-                self.crash_one(id);
+                self.crash_replica(id);
             }
-            Blow::LateHeartbeat => {
-                if !self.said.is_empty() {
-                    let position = self.rng.random_range(0..self.said.len());
-                    let late = self.said.swap_remove(position);
+            Event::LateHeartbeat => {
+                if !self.old_heartbeats.is_empty() {
+                    let position = self.rng.random_range(0..self.old_heartbeats.len());
+                    let late = self.old_heartbeats.swap_remove(position);
                     self.world.send(FleetRequest::Heartbeat(late));
                 }
             }
-            Blow::Foreign => {
-                let id = self.pick();
+            Event::ExternalWriter => {
+                let id = self.random_replica();
                 let mut report = self.world.next_heartbeat(&id);
                 self.world.replicas.get_mut(&id).unwrap().count -= 1;
                 match self.rng.random_range(0..3) {
@@ -129,41 +128,41 @@
                 }
                 self.world.send(FleetRequest::Heartbeat(report));
             }
-            Blow::Name => {
+            Event::Publish => {
                 self.newest += 1;
-                self.world.name(self.newest);
-                self.named.push((self.newest, self.world.now));
+                self.world.publish(self.newest);
+                self.published.push((self.newest, self.world.now));
             }
-            Blow::ChangeLeader => {
+            Event::ChangeLeader => {
                 self.world.change_leader();
-                self.led_since = self.world.now;
+                self.leader_changed_at = self.world.now;
             }
-            Blow::Rest => self.run_for(Duration::from_secs(2)),
+            Event::Wait => self.run_for(Duration::from_secs(2)),
         }
         let pause = Duration::from_millis(self.rng.random_range(0..700));
         self.run_for(pause);
     }
 
-    fn crash(&mut self) {
-        let id = self.pick();
-        self.crash_one(id);
+    fn crash_random_replica(&mut self) {
+        let id = self.random_replica();
+        self.crash_replica(id);
     }
 
-    fn crash_one(&mut self, id: String) {
+    fn crash_replica(&mut self, id: String) {
         let replica = self.world.replicas.get_mut(&id).unwrap();
         replica.is_silent = true;
         let version = self.rng.random_range(1..=replica.version);
         let down = Duration::from_millis(self.rng.random_range(50..2_500));
-        // What it said before may come in later.
-        let said = self.world.next_heartbeat(&id);
-        self.said.push(said);
+        // Its earlier heartbeat may arrive later.
+        let heartbeat = self.world.next_heartbeat(&id);
+        self.old_heartbeats.push(heartbeat);
         self.down.insert(id, (self.world.now + down, version));
     }
 
     fn run_for(&mut self, time: Duration) {
         let end = self.world.now + time;
         while self.world.now < end {
-            self.world.run_for(LOOK);
+            self.world.run_for(CHECK_INTERVAL);
             let now = self.world.now;
             let due: Vec<String> = self
                 .down
@@ -176,19 +175,21 @@
                 self.starts += 1;
                 self.world.restart(&id, self.starts, version);
             }
-            self.look();
+            self.check();
         }
     }
 
-    /// No request begins on weights older than the bound allows: whoever holds such is barred, or believed to hold
-    /// others, which requests to it name and it then refuses.
-    fn look(&mut self) {
+    /// No request begins on weights older than the deadline allows. Such a replica is excluded, or
+    /// recorded with other weights, so that it refuses requests for these.
+    fn check(&mut self) {
         let now = self.world.now;
-        if now < self.led_since + CALM {
+        if now < self.leader_changed_at + LEADER_RECOVERY {
             return;
         }
-        let bound = |one: &&(u32, Time)| now >= one.1.max(self.led_since + CALM) + SPREAD;
-        let Some((oldest, _)) = self.named.iter().rfind(bound).copied() else {
+        let is_past_deadline = |published: &&(u32, Time)| {
+            now >= published.1.max(self.leader_changed_at + LEADER_RECOVERY) + DEADLINE
+        };
+        let Some((oldest, _)) = self.published.iter().rfind(is_past_deadline).copied() else {
             return;
         };
         let view = self.world.view();
@@ -196,20 +197,20 @@
         for status in statuses {
             let replica = &self.world.replicas[&status.id];
             let is_down = self.down.contains_key(&status.id);
-            let is_believed = status.start == replica.start
-                && status.models.iter().any(|one| one.version == replica.version);
-            let is_open = status.availability != Availability::Excluded;
+            let is_recorded = status.start == replica.start
+                && status.models.iter().any(|replica| replica.version == replica.version);
+            let is_available = status.availability != Availability::Excluded;
             assert!(
-                is_down || !is_open || !is_believed || replica.version >= oldest,
-                "{} holds {} and is open; {oldest} was named over the bound ago, at {now}",
+                is_down || !is_available || !is_recorded || replica.version >= oldest,
+                "{} has version {} and is available past the deadline of {oldest}, at {now}",
                 status.id,
                 replica.version
             );
         }
     }
 
-    /// A replica that is up is listed, with its start, soon after it was heard.
-    fn is_listed(&self, id: &str) -> bool {
+    /// Whether a replica is registered with its start.
+    fn is_registered(&self, id: &str) -> bool {
         let known = self.world.member.state().fleet.instances().get(id);
         known.is_some_and(|known| known.start == self.world.replicas[id].start)
     }
@@ -226,42 +227,46 @@
 }
 
 #[test]
-fn nothing_of_an_earlier_incarnation_counts_for_a_later_one() {
+fn state_of_an_earlier_incarnation_is_not_applied_to_a_later_one() {
     for seed in seeds() {
-        let mut series = Series::new(seed);
+        let mut scenario = Scenario::new(seed);
         for _ in 0..STEPS {
-            series.blow();
+            scenario.apply_random_event();
         }
-        series.run_for(Duration::from_secs(3));
-        // None is lost for good, and one that is heard is listed within a moment.
-        series.run_for(HEARTBEAT + LISTED_WITHIN + CALM);
+        scenario.run_for(Duration::from_secs(3));
+        // No replica is lost, and each is registered soon after its heartbeat.
+        scenario.run_for(HEARTBEAT + REGISTRATION_TIME + LEADER_RECOVERY);
         for number in 0..REPLICAS {
             let id = id(number);
-            assert!(series.is_listed(&id), "seed {seed}: {id} is not listed");
+            assert!(scenario.is_registered(&id), "seed {seed}: {id} is not registered");
         }
-        series.run_for(SPREAD + CALM);
-        let newest = series.newest;
+        scenario.run_for(DEADLINE + LEADER_RECOVERY);
+        let newest = scenario.newest;
         for number in 0..REPLICAS {
             let id = id(number);
-            let version = series.world.replicas[&id].version;
-            assert_eq!(version, newest, "seed {seed}: {id} was left on older weights");
-            let status = series.world.status(&id);
-            let told = status.models.first().map(|one| one.version);
-            assert_eq!(told, Some(newest), "seed {seed}: {id} is told of otherwise");
+            let version = scenario.world.replicas[&id].version;
+            assert_eq!(version, newest, "seed {seed}: {id} has older weights");
+            let status = scenario.world.status(&id);
+            let reported = status.models.first().map(|replica| replica.version);
+            assert_eq!(
+                reported,
+                Some(newest),
+                "seed {seed}: {id} is reported with another version"
+            );
             assert_eq!(status.availability, Availability::Available, "seed {seed}: {id}");
         }
     }
 }
 
-/// A replica that starts again is listed with its new start within a second of being heard, whoever leads.
+/// This must hold whichever member leads.
 #[test]
-fn a_replica_that_starts_again_is_listed_within_a_second_of_being_heard() {
-    let mut series = Series::new(1);
+fn a_restarted_replica_is_registered_within_a_second_of_its_heartbeat() {
+    let mut scenario = Scenario::new(1);
     for start in 0..20 {
         let id = id(start % REPLICAS);
-        series.world.restart(&id, 50_000 + start, 1);
-        series.world.heartbeat(&id);
-        series.world.run_for(LISTED_WITHIN);
-        assert!(series.is_listed(&id), "{id} after start {start}");
+        scenario.world.restart(&id, 50_000 + start, 1);
+        scenario.world.heartbeat(&id);
+        scenario.world.run_for(REGISTRATION_TIME);
+        assert!(scenario.is_registered(&id), "{id} after start {start}");
     }
 }
--- a/crates/control/tests/ledger.rs
+++ b/crates/control/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger against resends, crossed claims and time.
+//! The ledger with resends, conflicting claims and expiry.
 
 use rstest::rstest;
 use std::time::Duration;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_result_is_kept_and_then_leaves_a_tombstone() {
+fn an_expired_result_leaves_a_tombstone() {
     let mut ledger = claimed();
     assert!(ledger.finish(NOW, key(), claim(1), Some(result()), RETENTION));
     let again = ledger.claim(LATER, key(), claim(2), digest(), LATER);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn only_the_holder_records_and_a_known_result_wins() {
+fn only_the_holder_records_and_a_known_result_replaces_an_unknown_one() {
     let mut ledger = claimed();
     assert!(!ledger.finish(NOW, key(), claim(2), Some(result()), RETENTION));
     assert!(ledger.finish(NOW, key(), claim(1), None, RETENTION));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_claim_given_back_is_free_for_others_and_never_for_its_late_copy() {
+fn a_released_key_is_free_but_delayed_copies_of_the_claim_are_refused() {
     let mut ledger = claimed();
     ledger.release(key(), claim(1), digest());
     assert_eq!(ledger.lookup(NOW, key()), LookupOutcome::Absent);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_release_that_overtakes_its_claim_stops_it() {
+fn a_release_that_arrives_before_its_claim_refuses_the_claim() {
     let mut ledger = Ledger::default();
     ledger.release(key(), claim(1), digest());
     let late = ledger.claim(NOW, key(), claim(1), digest(), DEADLINE);
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -1,153 +1,150 @@
-//! Who takes part in a group whose members come, go, and lose their disks, on a virtual clock.
+//! Membership of a group whose members join, leave, and lose their disks, on a virtual clock.
 
 mod common;
 
 use common::World;
 use std::time::Duration;
 
-/// Time within which a new member, or one with an empty disk, must be made up for (`catch_up_s` of the
+/// Time within which a new member, or one with an empty disk, must be a voter (`catch_up_s` of the
 /// deployments).
 const CATCH_UP: Duration = Duration::from_secs(4);
 
-/// Time after which a group has settled: the core's own, and some for what comes before.
-const SETTLED: Duration = Duration::from_secs(15);
+/// Time after which the size of a group is confirmed.
+const SIZE_CONFIRMED: Duration = Duration::from_secs(15);
 
-/// Five founding members that settled down.
-fn five() -> World {
-    let mut world = World::found(&[1, 2, 3, 4, 5]);
+/// A running group of five founders.
+fn five_members() -> World {
+    let mut world = World::new(&[1, 2, 3, 4, 5]);
     world.run(CATCH_UP);
     world
 }
 
 cases! {
-    /// The group sends to the address of a member whose disk was lost: that is enough to find it.
-    a_lost_disk_is_made_up_for_without_any_seed => {
-        let mut world = five();
-        world.name_seeds(4, &[21, 22]);
+    /// The group keeps sending to the address of the lost member, which is enough to find it.
+    a_member_with_a_lost_disk_rejoins_without_seeds => {
+        let mut world = five_members();
+        world.set_seeds(4, &[21, 22]);
         world.wipe(4);
         world.start(4);
         world.run(CATCH_UP);
-        assert!(world.is_voter(4), "{}", world.told());
+        assert!(world.is_voter(4), "{}", world.trace());
     }
 
-    /// A seed that is outside the group too, or does not know who leads, names whom it knows.
-    whoever_is_asked_names_those_that_it_knows => {
-        let mut world = five();
+    /// A seed outside the group reports the members that it knows.
+    a_process_outside_the_group_reports_known_members => {
+        let mut world = five_members();
         world.wipe(5);
-        world.name_seeds(5, &[1]);
+        world.set_seeds(5, &[1]);
         world.start(5);
         world.cut(5, 1);
-        world.name_seeds(6, &[5]);
+        world.set_seeds(6, &[5]);
         world.start(6);
         world.run(CATCH_UP);
-        assert!(world.is_voter(6), "{}", world.told());
+        assert!(world.is_voter(6), "{}", world.trace());
     }
 
-    /// Calls at a process outside the group are passed on as soon as it knows who leads.
-    a_process_outside_the_group_names_the_leader => {
-        let mut world = five();
+    /// A process outside the group redirects calls as soon as it knows the leader.
+    a_process_outside_the_group_reports_the_leader => {
+        let mut world = five_members();
         let leader = world.leader().unwrap();
-        world.freeze_changes();
-        let newcomer = 6;
-        world.name_seeds(newcomer, &[leader % 5 + 1]);
-        world.start(newcomer);
+        world.refuse_joins();
+        let new_member = 6;
+        world.set_seeds(new_member, &[leader % 5 + 1]);
+        world.start(new_member);
         world.run(Duration::from_millis(300));
-        assert!(!world.is_voter(newcomer));
-        assert_eq!(world.named_leader(newcomer), Some(leader));
+        assert!(!world.is_voter(new_member));
+        assert_eq!(world.reported_leader(new_member), Some(leader));
     }
 
-    /// Seeds that the settings name later are asked.
-    seeds_that_change_are_asked => {
-        let mut world = five();
-        world.name_seeds(6, &[21, 22]);
+    /// Seeds set later in the settings are used.
+    changed_seeds_are_used => {
+        let mut world = five_members();
+        world.set_seeds(6, &[21, 22]);
         world.start(6);
         world.run(CATCH_UP);
         assert!(!world.is_voter(6));
-        world.name_seeds(6, &[2]);
+        world.set_seeds(6, &[2]);
         world.run(CATCH_UP);
-        assert!(world.is_voter(6), "{}", world.told());
+        assert!(world.is_voter(6), "{}", world.trace());
     }
 
-    /// Identities that are gone don't stay counted, also where two machines were replaced at once.
-    machines_replaced_at_the_same_time_are_counted_once => {
-        let mut world = World::found_with(&[1, 2, 3], &[1, 2, 3, 4, 5], 0);
-        world.run(SETTLED);
-        assert_eq!(world.voters(), 5, "{}", world.told());
-        for gone in [1, 2] {
-            world.remove(gone);
+    /// Removed machines don't stay voters, also if two are replaced at once.
+    machines_replaced_at_the_same_time_count_once => {
+        let mut world = World::with_founders(&[1, 2, 3], &[1, 2, 3, 4, 5], 0);
+        world.run(SIZE_CONFIRMED);
+        assert_eq!(world.voters(), 5, "{}", world.trace());
+        for removed in [1, 2] {
+            world.remove(removed);
         }
         for successor in [6, 7] {
-            world.name_seeds(successor, &[3, 4]);
+            world.set_seeds(successor, &[3, 4]);
             world.start(successor);
         }
         world.run(CATCH_UP);
-        assert!(world.is_voter(6) && world.is_voter(7), "{}", world.told());
-        assert_eq!(world.voters(), 5, "{}", world.told());
+        assert!(world.is_voter(6) && world.is_voter(7), "{}", world.trace());
+        assert_eq!(world.voters(), 5, "{}", world.trace());
     }
 
-    /// Two members that are down with their disks are kept: nobody has come in their place, and what
-    /// was committed may be needed from them.
-    members_that_are_down_are_kept_while_nobody_has_come_for_them => {
-        let mut world = World::found_with(&[1, 2, 3], &[1, 2, 3, 4, 5], 0);
-        world.run(SETTLED);
+    /// Two stopped members with disks are kept, since committed entries may be needed from them.
+    stopped_members_without_successors_are_kept => {
+        let mut world = World::with_founders(&[1, 2, 3], &[1, 2, 3, 4, 5], 0);
+        world.run(SIZE_CONFIRMED);
         world.kill(1);
         world.kill(4);
-        world.run(SETTLED);
-        assert_eq!(world.voters(), 5, "{}", world.told());
+        world.run(SIZE_CONFIRMED);
+        assert_eq!(world.voters(), 5, "{}", world.trace());
         world.start(1);
         world.start(4);
         world.run(CATCH_UP);
-        assert!(world.is_voter(1) && world.is_voter(4), "{}", world.told());
-        assert_eq!(world.voters(), 5, "{}", world.told());
+        assert!(world.is_voter(1) && world.is_voter(4), "{}", world.trace());
+        assert_eq!(world.voters(), 5, "{}", world.trace());
     }
 
-    /// A learner that is gone before it became a voter does not stay.
-    a_learner_that_is_gone_is_removed => {
-        let mut world = five();
+    /// A learner that stops before it becomes a voter is removed.
+    a_silent_learner_is_removed => {
+        let mut world = five_members();
         let leader = world.leader().unwrap();
-        let newcomer = 6;
-        world.name_seeds(newcomer, &[leader]);
-        world.start(newcomer);
-        // It goes in the moment in which it was taken in.
-        world.until("it is a learner", CATCH_UP, |world| world.learners() == 1);
-        world.remove(newcomer);
+        let new_member = 6;
+        world.set_seeds(new_member, &[leader]);
+        world.start(new_member);
+        // It stops right after it was added.
+        world.run_until("it is a learner", CATCH_UP, |world| world.learners() == 1);
+        world.remove(new_member);
         world.run(CATCH_UP * 4);
-        assert_eq!((world.voters(), world.learners()), (5, 0), "{}", world.told());
+        assert_eq!((world.voters(), world.learners()), (5, 0), "{}", world.trace());
     }
 
-    /// From a day of our own (`replace-turn`): a leader of long standing took a learner for silent before
-    /// it could answer, and removed it at once.
-    a_newcomer_is_given_time_to_answer => {
-        let mut world = World::found_with(&[1, 2, 3], &[1, 2, 3, 4, 5], 0);
-        world.run(SETTLED);
-        world.name_seeds(6, &[1, 2, 3]);
+    /// A leader must not take a new learner for silent before it could respond.
+    a_new_learner_has_time_to_respond => {
+        let mut world = World::with_founders(&[1, 2, 3], &[1, 2, 3, 4, 5], 0);
+        world.run(SIZE_CONFIRMED);
+        world.set_seeds(6, &[1, 2, 3]);
         world.start(6);
-        world.until("it is a learner", CATCH_UP, |world| world.learners() == 1);
+        world.run_until("it is a learner", CATCH_UP, |world| world.learners() == 1);
         world.freeze(6);
         world.run(Duration::from_millis(500));
-        assert_eq!(world.learners(), 1, "{}", world.told());
+        assert_eq!(world.learners(), 1, "{}", world.trace());
         world.thaw(6);
         world.run(Duration::from_millis(300));
-        assert!(world.is_voter(6), "{}", world.told());
+        assert!(world.is_voter(6), "{}", world.trace());
     }
 
-    /// From the same day: machines that are replaced as planned run beside their successors, which made
-    /// the group look larger for good.
-    machines_replaced_as_planned_at_the_same_time_are_counted_once => {
-        let mut world = World::found_with(&[1, 2, 3], &[1, 2, 3, 4, 5], 0);
-        world.run(SETTLED);
+    /// Machines replaced as planned run beside their successors, which must not enlarge the group.
+    planned_concurrent_replacements_count_once => {
+        let mut world = World::with_founders(&[1, 2, 3], &[1, 2, 3, 4, 5], 0);
+        world.run(SIZE_CONFIRMED);
         for successor in [6, 7] {
-            world.name_seeds(successor, &[3, 4]);
+            world.set_seeds(successor, &[3, 4]);
             world.start(successor);
             world.run(Duration::from_secs(1));
         }
-        assert_eq!(world.voters(), 7, "{}", world.told());
+        assert_eq!(world.voters(), 7, "{}", world.trace());
         world.run(CATCH_UP);
-        for gone in [1, 2] {
-            world.remove(gone);
+        for removed in [1, 2] {
+            world.remove(removed);
             world.run(Duration::from_secs(1));
         }
         world.run(CATCH_UP);
-        assert_eq!(world.voters(), 5, "{}", world.told());
+        assert_eq!(world.voters(), 5, "{}", world.trace());
     }
 }
--- a/crates/control/tests/membership_soak.rs
+++ b/crates/control/tests/membership_soak.rs
@@ -1,6 +1,5 @@
-//! Random series of lost disks, replaced machines, ends, freezes and cuts, which overlap: a group of
-//! five never loses more disks at a time than it bears, and must answer again, whole, when it is left
-//! in peace. Seeds: `CONTROL_SOAK_SEEDS=A..B`.
+//! Random overlapping faults in a group of five that loses no more disks at a time than it
+//! tolerates. It must recover afterwards. Seeds: `CONTROL_SOAK_SEEDS=A..B`.
 
 mod common;
 
@@ -13,23 +12,24 @@
 use topazmount_control::{FleetRequest, FleetResponse, Request, Response};
 use topazmount_types::Time;
 
-/// Seeds of a run without a choice.
+/// Default seeds.
 const SEEDS: std::ops::Range<u64> = 1..60;
-/// Members of a group, of which the first three found it.
+/// Members of a group; the first three are founders.
 const MEMBERS: Host = 5;
-/// Disks that may be lost at a time.
-const TOLERANCE: usize = 2;
-/// Time that a new member, or one with an empty disk, is given in peace (`catch_up_s`).
+/// Maximum number of disks lost at a time.
+const MAX_LOST_DISKS: usize = 2;
+/// Time without faults within which a new member, or one with an empty disk, becomes a voter
+/// (`catch_up_s`).
 const CATCH_UP: Duration = Duration::from_secs(4);
-/// Time within which a group answers again after all its members are back (`recover_s`).
+/// Time within which a group accepts changes after all members are back (`recover_s`).
 const RECOVER: Duration = Duration::from_secs(12);
-/// Steps of a run.
+/// Faults per run.
 const STEPS: usize = 60;
 const MODEL: &str = "model";
 
-/// What is done to a machine.
+/// A fault.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Fault {
     Kill,
     KillAll,
     Wipe,
@@ -39,27 +39,27 @@
     Seeds,
 }
 
-const TROUBLES: [Trouble; 10] = [
-    Trouble::Kill,
-    Trouble::Kill,
-    Trouble::KillAll,
-    Trouble::Wipe,
-    Trouble::Wipe,
-    Trouble::Wipe,
-    Trouble::Replace,
-    Trouble::Freeze,
-    Trouble::Cut,
-    Trouble::Seeds,
+const FAULTS: [Fault; 10] = [
+    Fault::Kill,
+    Fault::Kill,
+    Fault::KillAll,
+    Fault::Wipe,
+    Fault::Wipe,
+    Fault::Wipe,
+    Fault::Replace,
+    Fault::Freeze,
+    Fault::Cut,
+    Fault::Seeds,
 ];
 
 struct Soak {
     world: World,
     rng: ChaCha8Rng,
-    /// Machines that are down, and when they start again.
+    /// Stopped machines, and when they start again.
     starts: BTreeMap<Host, Time>,
     thaws: BTreeMap<Host, Time>,
     heal_at: Option<Time>,
-    /// Machines whose disk was lost, with the time from which they had peace to be made up for.
+    /// Machines with a lost disk, and since when there have been no faults.
     lost: BTreeMap<Host, Option<Time>>,
     next_host: Host,
     acknowledged: u32,
@@ -69,7 +69,7 @@
 impl Soak {
     fn new(seed: u64) -> Self {
         let hosts: Vec<Host> = (1..=MEMBERS).collect();
-        let mut world = World::found_with(&hosts[..3], &hosts, seed);
+        let mut world = World::with_founders(&hosts[..3], &hosts, seed);
         world.run(Duration::from_secs(14));
         Soak {
             world,
@@ -84,88 +84,88 @@
         }
     }
 
-    fn some_time(&mut self, most_ms: u64) -> Duration {
-        Duration::from_millis(self.rng.random_range(10..most_ms))
+    fn random_time(&mut self, max_ms: u64) -> Duration {
+        Duration::from_millis(self.rng.random_range(10..max_ms))
     }
 
-    fn any_up(&mut self) -> Option<Host> {
+    fn random_running(&mut self) -> Option<Host> {
         let up: Vec<Host> =
-            self.world.hosts().into_iter().filter(|h| self.world.is_up(*h)).collect();
+            self.world.hosts().into_iter().filter(|host| self.world.is_up(*host)).collect();
         up.choose(&mut self.rng).copied()
     }
 
-    /// Whether all machines run, reach one another and do not stand still.
+    /// Whether all machines run without faults.
     fn is_calm(&self) -> bool {
         self.starts.is_empty() && self.thaws.is_empty() && self.heal_at.is_none()
     }
 
     fn may_lose_disk(&self, host: Host) -> bool {
-        self.lost.contains_key(&host) || self.lost.len() < TOLERANCE
+        self.lost.contains_key(&host) || self.lost.len() < MAX_LOST_DISKS
     }
 
-    fn trouble(&mut self, trouble: Trouble) {
-        let Some(host) = self.any_up() else { return };
+    fn inject(&mut self, fault: Fault) {
+        let Some(host) = self.random_running() else { return };
         let now = self.world.now;
-        match trouble {
-            Trouble::Kill => {
+        match fault {
+            Fault::Kill => {
                 self.world.kill(host);
-                let down = self.some_time(4_000);
+                let down = self.random_time(4_000);
                 self.starts.insert(host, now + down);
             }
-            Trouble::KillAll => {
+            Fault::KillAll => {
                 for host in self.world.hosts() {
                     self.world.kill(host);
-                    let down = self.some_time(1_500);
+                    let down = self.random_time(1_500);
                     self.starts.entry(host).or_insert(now + down);
                 }
             }
-            Trouble::Wipe if self.may_lose_disk(host) => {
+            Fault::Wipe if self.may_lose_disk(host) => {
                 self.world.wipe(host);
                 self.lost.insert(host, None);
-                let down = self.some_time(2_000);
+                let down = self.random_time(2_000);
                 self.starts.insert(host, now + down);
             }
-            Trouble::Replace if self.may_lose_disk(host) => {
+            Fault::Replace if self.may_lose_disk(host) => {
                 let successor = self.next_host;
                 self.next_host += 1;
                 self.world.remove(host);
                 self.lost.remove(&host);
                 self.lost.insert(successor, None);
-                let seeds = self.some_seeds();
-                self.world.name_seeds(successor, &seeds);
-                let down = self.some_time(2_000);
+                let seeds = self.random_seeds();
+                self.world.set_seeds(successor, &seeds);
+                let down = self.random_time(2_000);
                 self.starts.insert(successor, now + down);
             }
-            Trouble::Freeze => {
+            Fault::Freeze => {
                 self.world.freeze(host);
-                let time = self.some_time(5_000);
+                let time = self.random_time(5_000);
                 self.thaws.insert(host, now + time);
             }
-            Trouble::Cut => {
+            Fault::Cut => {
                 for other in self.world.hosts().into_iter().filter(|other| *other != host) {
                     if self.rng.random_bool(0.7) {
                         self.world.cut(host, other);
                     }
                 }
-                let time = self.some_time(5_000);
+                let time = self.random_time(5_000);
                 self.heal_at = Some(now + time);
             }
-            Trouble::Seeds => {
-                let seeds = self.some_seeds();
-                self.world.name_seeds(host, &seeds);
+            Fault::Seeds => {
+                let seeds = self.random_seeds();
+                self.world.set_seeds(host, &seeds);
             }
-            Trouble::Wipe | Trouble::Replace => return,
+            Fault::Wipe | Fault::Replace => return,
         }
-        self.history.push(format!("{now} {trouble:?} {host}"));
+        self.history.push(format!("{now} {fault:?} {host}"));
     }
 
-    /// Three machines that there are: a process that nobody sends to needs one that lives.
-    fn some_seeds(&mut self) -> Vec<Host> {
+    /// Seeds of three existing machines.
+    fn random_seeds(&mut self) -> Vec<Host> {
         let hosts = self.world.hosts();
         hosts.choose_multiple(&mut self.rng, 3).copied().collect()
     }
 
-    /// Lets time pass, and what was due in it happen.
+    /// Lets time pass, and ends the faults that are due.
     fn pass(&mut self, time: Duration) {
         let until = self.world.now + time;
         while self.world.now < until {
@@ -182,12 +182,12 @@
                 self.world.heal();
             }
             self.change();
-            self.count_peace();
+            self.expire_lost_disks();
         }
     }
 
-    /// A disk that is lost counts until its machine, and all others, had peace for a while.
-    fn count_peace(&mut self) {
+    /// A lost disk counts until there have been no faults for `CATCH_UP`.
+    fn expire_lost_disks(&mut self) {
         let (now, is_calm) = (self.world.now, self.is_calm());
         for since in self.lost.values_mut() {
             *since = if is_calm { since.or(Some(now)) } else { None };
@@ -195,40 +195,40 @@
         self.lost.retain(|_, since| since.is_none_or(|since| now < since + CATCH_UP));
     }
 
-    /// Sends a change to the leader; what it acknowledges must last.
+    /// Sends a change to the leader; acknowledged changes must last.
     fn change(&mut self) -> bool {
         let Some(leader) = self.world.leader() else { return false };
-        let held = self
+        let version = self
             .world
             .member(leader)
             .and_then(|member| member.state().fleet.weights().get(MODEL).copied());
-        // An entry of its term is committed, so it knows of all that was acknowledged.
+        // The leader has committed an entry of its term, so it has all acknowledged changes.
         assert!(
-            held.unwrap_or(0) >= self.acknowledged,
-            "{leader} leads with {held:?} after {} was acknowledged; {}",
+            version.unwrap_or(0) >= self.acknowledged,
+            "{leader} leads with {version:?} after {} was acknowledged; {}",
             self.acknowledged,
-            self.told()
+            self.trace()
         );
         let version = self.acknowledged + 1;
         let request = FleetRequest::PublishWeights { model: MODEL.to_owned(), version };
-        let Some(token) = self.world.ask(leader, Request::Fleet(request)) else { return false };
+        let Some(token) = self.world.request(leader, Request::Fleet(request)) else { return false };
         self.world.run(Duration::from_millis(40));
         let is_done =
-            matches!(self.world.answer(token), Some(Response::Fleet(FleetResponse::Done)));
+            matches!(self.world.take_response(token), Some(Response::Fleet(FleetResponse::Done)));
         if is_done {
             self.acknowledged = version;
         }
         is_done
     }
 
-    /// Ends all trouble, and looks whether the group is whole again.
-    fn make_peace(&mut self) {
+    /// Ends all faults, and checks that the group recovers.
+    fn end_faults_and_check(&mut self) {
         while !self.is_calm() {
             self.pass(Duration::from_millis(100));
         }
         let end = self.world.now + RECOVER;
         while !self.change() {
-            assert!(self.world.now < end, "no change is accepted any more; {}", self.told());
+            assert!(self.world.now < end, "no change is accepted; {}", self.trace());
             self.pass(Duration::from_millis(50));
         }
         let hosts = self.world.hosts();
@@ -240,39 +240,40 @@
                 hosts.iter().filter(|host| !self.world.is_voter(**host)).collect();
             assert!(
                 self.world.now < end,
-                "{missing:?} take no part, {} voters for {} machines; {}",
+                "{missing:?} are not voters, {} voters for {} machines; {}",
                 self.world.voters(),
                 hosts.len(),
-                self.told()
+                self.trace()
             );
             self.pass(Duration::from_millis(50));
         }
         self.lost.clear();
     }
 
-    fn told(&self) -> String {
-        format!("{}\ndone: {}", self.world.told(), self.history.join("; "))
+    fn trace(&self) -> String {
+        format!("{}\ndone: {}", self.world.trace(), self.history.join("; "))
     }
 }
 
 fn due(times: &mut BTreeMap<Host, Time>, now: Time) -> Vec<Host> {
-    let due: Vec<Host> = times.iter().filter(|(_, at)| now >= **at).map(|(h, _)| *h).collect();
+    let due: Vec<Host> =
+        times.iter().filter(|(_, at)| now >= **at).map(|(host, _)| *host).collect();
     for host in &due {
         times.remove(host);
     }
     due
 }
 
-fn play(seed: u64) {
+fn run_seed(seed: u64) {
     let mut soak = Soak::new(seed);
     for step in 0..STEPS {
-        let trouble = *TROUBLES.choose(&mut soak.rng).expect("there are some");
-        soak.trouble(trouble);
-        // Mostly the next blow comes while the last one is being recovered from.
-        let pause = soak.some_time(if step % 4 == 3 { 6_000 } else { 1_500 });
+        let fault = *FAULTS.choose(&mut soak.rng).expect("the list is not empty");
+        soak.inject(fault);
+        // Most faults begin before the last one is repaired.
+        let pause = soak.random_time(if step % 4 == 3 { 6_000 } else { 1_500 });
         soak.pass(pause);
         if step % 15 == 14 {
-            soak.make_peace();
+            soak.end_faults_and_check();
         }
     }
 }
@@ -285,15 +286,15 @@
 }
 
 #[test]
-fn a_group_is_whole_again_after_any_series_that_it_must_bear() {
+fn a_group_recovers_after_any_tolerable_fault_sequence() {
     let failed: Vec<u64> = seeds()
         .filter(|seed| {
-            let played = std::panic::catch_unwind(|| play(*seed));
-            if let Err(problem) = &played {
-                let problem = problem.downcast_ref::<String>().map_or("", String::as_str);
-                eprintln!("seed {seed}: {problem}");
+            let result = std::panic::catch_unwind(|| run_seed(*seed));
+            if let Err(panic) = &result {
+                let panic = panic.downcast_ref::<String>().map_or("", String::as_str);
+                eprintln!("seed {seed}: {panic}");
             }
-            played.is_err()
+            result.is_err()
         })
         .collect();
     assert!(failed.is_empty(), "seeds {failed:?}");
--- a/crates/control/tests/recorded_bytes.rs
+++ b/crates/control/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
-//! Messages, commands and snapshots keep the bytes that other builds read and write.
-//! `recorded_bytes.tsv` has a line for each sample: its name, and its encodings in hexadecimal.
+//! Messages, commands and snapshots keep the bytes that other builds read and write. Each line of
+//! `recorded_bytes.tsv` holds the name of a sample and its encodings in hexadecimal.
 
 use serde::{Serialize, de::DeserializeOwned};
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,7 +47,8 @@
         self.lines.get(name).cloned().unwrap_or_else(|| panic!("{name} is not recorded"))
     }
 
-    /// Checks both encodings of a value, with and without the names of its fields, and that the recorded bytes decode to it.
+    /// Checks both encodings of a value, with and without field names, and that the recorded bytes
+    /// decode to it.
     fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, value: T) {
         let encodings = [rmp_serde::to_vec_named(&value), rmp_serde::to_vec(&value)];
         let encodings = encodings.map(|bytes| bytes.unwrap());
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Checks a frame as it is written for the first builds, and what the recorded bytes decode to.
+    /// Checks the encoding of a frame for legacy builds, and the result of decoding the recorded
+    /// bytes.
     fn check_first(&mut self, name: &str, frame: &Frame, read: Option<Frame>) {
         let mut link = LegacyLink::default();
         let written = link.outgoing(frame).map(|frame| rmp_serde::to_vec_named(&frame).unwrap());
@@ -229,7 +231,7 @@
     BlockedRequest { request: RequestDigest(11), crash_span: Duration::from_millis(120) }
 }
 
-/// What the first builds tell of the same view.
+/// The same view as a legacy build sends it.
 fn first_view() -> FleetView {
     let removed =
         RemovedInstance { id: "r3".to_owned(), was_announced: true, start: Start::UNSAID };
@@ -493,7 +495,8 @@
     commands
 }
 
-/// A state whose ledger has a key in each state, and whose fleet has replicas, removals, a blocked and a suspected request.
+/// A state with a key in each ledger state, replicas, removals, and a blocked and a suspected
+/// request.
 fn state() -> ControlState {
     let mut state = ControlState::founding(source());
     let mut apply = |at: u64, command: Command| {
--- a/crates/control/tests/rollout_times.rs
+++ b/crates/control/tests/rollout_times.rs
@@ -1,62 +1,44 @@
-//! Weights are everywhere in time whatever a load takes, wherever among the names replicas hang, and whoever leads.
-//!
-//! What happens: a version is named, and sound replicas are still on the one before when the bound of 8 s is over, so that no request may
-//! go there. Why: a sixth of a service's replicas loaded at a time, a load was reckoned with one second and a pause before each
-//! order with 1.2 s, whatever was left to do and however long loads took. Twelve replicas whose loads took 1.2 s needed six rounds of about
-//! 1.5 s; a leader that began 3 s into the bound went on as if it had all of it.
-//!
-//! Figures of the fixed numbers, sound replicas that are late at the bound: loads of 1.2 s 2 of 6, 4 of 12, 20 of 60; three of 12 that hang at
-//! r00, r04 and r08 1 of 9; a leader that starts again 0.2 s after the naming 2 of 6, 4 of 12, 20 of 60.
-//!
-//! What showed it, the seconds at which orders went out to 12 replicas with loads of 1.2 s: 1.24 1.24 2.72 2.72 4.20 4.20 5.68 5.68 7.16 7.16.
-//! Two at a time all along, though after the first two it was known that six such rounds don't fit. With three that hang:
-//! 1.24 1.24 2.24 2.76 3.44 3.96 4.96 4.96 5.96 5.96 6.96 7.48: each place lost for 1.5 s was made good by nobody. With a leader that
-//! starts again: 4.23 4.23 5.23 5.23 6.23 6.23 7.23 7.23 after the naming, as in a calm hour. Now the leader logs what it plans by, each time it
-//! changes: `event=rollout_plan service=pool left=10 at_once=4 ahead=3 most_away=8 pause_ms=1200 load_ms=1890 late=0`.
-//!
-//! The arithmetic, in [`Play::is_possible`]: at most all but a third of a service's replicas may be away at a time. One that loads takes the load,
-//! and a report that shows it (`TURNAROUND`). What a load takes is known once the first has ended, or was due to. Whoever hangs
-//! holds a place for twice what others take.
+//! Replicas that can load in time must do so before the deadline, whatever the load times, hung
+//! loads and leader changes. [`Scenario::is_possible`] computes whether the deadline can be met.
 
 mod fleet_world;
 
-use fleet_world::{LEASE, MODEL, Manner, Replica, SPREAD, STEP, World};
+use fleet_world::{Behavior, DEADLINE, LEASE, MODEL, Replica, STEP, World};
 use std::time::Duration;
 
-/// From an order to the report that shows its load, beside the load: a report is 200 ms old, questions come each 150 ms, and orders
-/// follow an answered question.
+/// Time of a load beyond the load itself: report lag, query interval and the order after a query.
 const TURNAROUND: Duration = Duration::from_millis(450);
-/// Least time for which gateways pass over a replica before its order.
+/// Shortest pause before an order.
 const PAUSE: Duration = Duration::from_millis(300);
-/// Time that a load is given where none has ended yet.
+/// Time after which a load counts as hung before any load has ended.
 const FIRST_LOAD: Duration = Duration::from_millis(1_500);
 
-/// How replicas that are not sound behave.
+/// How faulty replicas behave.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    Orders(Manner),
-    /// Leaves questions unanswered.
-    Deaf,
+    Orders(Behavior),
+    /// Does not respond to queries.
+    IgnoresQueries,
 }
 
 #[derive(Clone, Debug)]
-struct Play {
+struct Scenario {
     replicas: usize,
-    /// What loads take, in turn over the names.
+    /// Load times, assigned to the replicas in turn.
     loads: Vec<u64>,
     faulty: usize,
     fault: Fault,
-    /// Whether the faulty ones are spread over the names, or the first.
+    /// Whether faulty replicas are spread over the identifiers, or the first ones.
     is_spread: bool,
-    /// When the leader starts again, after the naming.
-    changes_ms: Vec<u64>,
+    /// Leader restarts, relative to the publication or the previous restart.
+    leader_restarts_ms: Vec<u64>,
 }
 
-impl Play {
+impl Scenario {
     fn new(replicas: usize, load_ms: u64) -> Self {
-        let fault = Fault::Orders(Manner::Hangs);
-        let (loads, changes_ms) = (vec![load_ms], Vec::new());
-        Play { replicas, loads, faulty: 0, fault, is_spread: true, changes_ms }
+        let fault = Fault::Orders(Behavior::Hangs);
+        let (loads, leader_restarts_ms) = (vec![load_ms], Vec::new());
+        Scenario { replicas, loads, faulty: 0, fault, is_spread: true, leader_restarts_ms }
     }
 
     fn is_faulty(&self, number: usize) -> bool {
@@ -74,23 +56,26 @@
         Duration::from_millis(self.loads.iter().copied().max().unwrap_or(0))
     }
 
-    /// Whether the bound can hold for all sound replicas.
+    /// Whether all healthy replicas can meet the deadline.
     fn is_possible(&self) -> bool {
-        let sound = self.replicas - self.faulty;
+        let healthy = self.replicas - self.faulty;
         let time = self.longest_load() + TURNAROUND;
-        let away = (sound - sound / 3).max(1).min((sound - 1).max(1));
-        // While some load, those that come next are paused.
+        let max_unavailable = (healthy - healthy / 3).max(1).min((healthy - 1).max(1));
+        // While some load, the next ones are paused.
         let paused =
             |loading: usize| (PAUSE * loading as u32).div_duration_f64(time).ceil() as usize;
-        let at_once = (1..=away).rev().find(|loading| loading + paused(*loading) <= away);
-        let rounds = sound.div_ceil(at_once.unwrap_or(1)) as u32;
-        let learning = self.longest_load().min(FIRST_LOAD);
+        let concurrency = (1..=max_unavailable)
+            .rev()
+            .find(|loading| loading + paused(*loading) <= max_unavailable);
+        let rounds = healthy.div_ceil(concurrency.unwrap_or(1)) as u32;
+        let first_load_time = self.longest_load().min(FIRST_LOAD);
         let hung = if self.faulty > 0 { time * 2 } else { Duration::ZERO };
-        let wait = if self.changes_ms.is_empty() { PAUSE } else { LEASE };
-        wait + learning + hung + time * rounds <= SPREAD
+        let wait = if self.leader_restarts_ms.is_empty() { PAUSE } else { LEASE };
+        wait + first_load_time + hung + time * rounds <= DEADLINE
     }
 
-    /// Sound replicas, and those of them that are on older weights a bound after the naming, or after the last start of the leader.
+    /// Number of healthy replicas, and of those still outdated at the deadline after the
+    /// publication or the last leader start.
     fn late(&self) -> (usize, usize) {
         let mut world = World::new(0);
         for number in 0..self.replicas {
@@ -100,157 +85,169 @@
             replica.load = Duration::from_millis(self.loads[number % self.loads.len()]);
             match self.fault {
                 _ if !self.is_faulty(number) => {}
-                Fault::Orders(manner) => replica.manner = manner,
-                Fault::Deaf => drop(world.deaf.insert(id)),
+                Fault::Orders(behavior) => replica.behavior = behavior,
+                Fault::IgnoresQueries => drop(world.ignores_queries.insert(id)),
             }
         }
         world.run_for(Duration::from_secs(10));
-        world.name(2);
+        world.publish(2);
         let mut since = world.now;
-        for after in &self.changes_ms {
+        for after in &self.leader_restarts_ms {
             let at = since + Duration::from_millis(*after);
             while world.now < at {
                 world.run_for(STEP);
             }
             world.change_leader();
-            while world.led_at.is_none() {
+            while world.leader_since.is_none() {
                 world.run_for(STEP);
             }
             since = world.now;
         }
-        // Those that take no order go on serving.
-        let hung = if self.fault == Fault::Orders(Manner::Hangs) { self.faulty } else { 0 };
-        let able = self.replicas - hung;
-        while world.now < since + SPREAD {
+        // Replicas that refuse orders keep serving.
+        let hung = if self.fault == Fault::Orders(Behavior::Hangs) { self.faulty } else { 0 };
+        let able_to_load = self.replicas - hung;
+        while world.now < since + DEADLINE {
             world.run_for(STEP);
-            let loading = |one: &&Replica| one.loading.is_some() && one.manner != Manner::Hangs;
+            let loading = |replica: &&Replica| {
+                replica.loading.is_some() && replica.behavior != Behavior::Hangs
+            };
             let loading = world.replicas.values().filter(loading).count();
-            let floor = (able / 3).max(1);
-            assert!(loading + floor <= able || able == 1, "{loading} load in {self:?}");
+            let min_serving = (able_to_load / 3).max(1);
+            assert!(
+                loading + min_serving <= able_to_load || able_to_load == 1,
+                "{loading} load in {self:?}"
+            );
         }
-        let sound = |number: &usize| !self.is_faulty(*number);
-        let versions = (0..self.replicas).filter(sound);
+        let healthy = |number: &usize| !self.is_faulty(*number);
+        let versions = (0..self.replicas).filter(healthy);
         let versions = versions.map(|number| world.replicas[&format!("r{number:03}")].version);
         let late = versions.filter(|version| *version < 2).count();
         (self.replicas - self.faulty, late)
     }
 }
 
-/// Plays each and says which leave sound replicas late though the bound can hold.
-fn holds(plays: impl IntoIterator<Item = Play>) {
-    let mut broken = Vec::new();
-    let (mut played, mut possible) = (0, 0);
-    for play in plays {
-        let (sound, late) = play.late();
-        played += 1;
-        let is_possible = play.is_possible();
-        possible += usize::from(is_possible);
+/// Runs the scenarios; none may have late replicas if the deadline can be met.
+fn check(scenarios: impl IntoIterator<Item = Scenario>) {
+    let mut violations = Vec::new();
+    let (mut run_count, mut possible_count) = (0, 0);
+    for scenario in scenarios {
+        let (healthy, late) = scenario.late();
+        run_count += 1;
+        let is_possible = scenario.is_possible();
+        possible_count += usize::from(is_possible);
         if late > 0 {
-            let line = format!("{late} of {sound} late, possible {is_possible}: {play:?}");
+            let line = format!("{late} of {healthy} late, possible {is_possible}: {scenario:?}");
             println!("{line}");
             if is_possible {
-                broken.push(line);
+                violations.push(line);
             }
         }
     }
-    println!("{played} plays, in {possible} of them the bound can hold");
-    assert!(possible > 0, "the arithmetic allows none");
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    println!("{run_count} scenarios, in {possible_count} of them the deadline can be met");
+    assert!(possible_count > 0, "the deadline can be met in no scenario");
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 const SIZES: [usize; 6] = [3, 6, 12, 18, 24, 60];
 const LOADS_MS: [u64; 4] = [300, 630, 1_200, 2_500];
 
-fn sizes_and_loads() -> impl Iterator<Item = Play> {
-    SIZES.into_iter().flat_map(|replicas| LOADS_MS.map(|load_ms| Play::new(replicas, load_ms)))
+fn sizes_and_loads() -> impl Iterator<Item = Scenario> {
+    SIZES.into_iter().flat_map(|replicas| LOADS_MS.map(|load_ms| Scenario::new(replicas, load_ms)))
 }
 
-/// The same with up to a third of the replicas at fault, spread over the names and in front.
-fn with_faults(fault: Fault) -> impl Iterator<Item = Play> {
-    sizes_and_loads().flat_map(move |play| {
-        let thirds = [play.replicas / 6, play.replicas / 4, play.replicas / 3];
+/// Adds up to a third of faulty replicas, spread over the identifiers or the first ones.
+fn with_faults(fault: Fault) -> impl Iterator<Item = Scenario> {
+    sizes_and_loads().flat_map(move |scenario| {
+        let thirds = [scenario.replicas / 6, scenario.replicas / 4, scenario.replicas / 3];
         let counts = thirds.into_iter().filter(|faulty| *faulty > 0);
-        let plays = counts.flat_map(|faulty| [(faulty, true), (faulty, false)]);
-        let plays: Vec<_> = plays.collect();
-        plays.into_iter().map(move |(faulty, is_spread)| Play {
+        let scenarios = counts.flat_map(|faulty| [(faulty, true), (faulty, false)]);
+        let scenarios: Vec<_> = scenarios.collect();
+        scenarios.into_iter().map(move |(faulty, is_spread)| Scenario {
             faulty,
             fault,
             is_spread,
-            ..play.clone()
+            ..scenario.clone()
         })
     })
 }
 
 #[test]
 fn whatever_a_load_takes() {
-    holds(sizes_and_loads());
+    check(sizes_and_loads());
 }
 
-/// The same without loads of 2.5 s, which a leader that has seen none takes for hung at first (1 s is the configured first value).
+/// Without loads of 2.5 s, which count as hung before any load has ended.
 #[test]
-fn loads_up_to_the_first_value_and_a_fifth() {
-    holds(sizes_and_loads().filter(|play| play.longest_load() <= Duration::from_millis(1_200)));
+fn loads_up_to_the_initial_estimate() {
+    check(
+        sizes_and_loads()
+            .filter(|scenario| scenario.longest_load() <= Duration::from_millis(1_200)),
+    );
 }
 
 #[test]
-fn where_loads_differ() {
-    let mixed = |replicas| Play { loads: vec![300, 1_200, 630], ..Play::new(replicas, 0) };
-    let few_slow = |replicas| Play { loads: vec![630, 630, 630, 2_500], ..Play::new(replicas, 0) };
-    holds(SIZES.into_iter().flat_map(|replicas| [mixed(replicas), few_slow(replicas)]));
+fn with_different_load_times() {
+    let mixed = |replicas| Scenario { loads: vec![300, 1_200, 630], ..Scenario::new(replicas, 0) };
+    let few_slow =
+        |replicas| Scenario { loads: vec![630, 630, 630, 2_500], ..Scenario::new(replicas, 0) };
+    check(SIZES.into_iter().flat_map(|replicas| [mixed(replicas), few_slow(replicas)]));
 }
 
 #[test]
-fn at_three_hundred_replicas() {
-    holds([630, 1_200].map(|load_ms| Play::new(300, load_ms)));
+fn with_three_hundred_replicas() {
+    check([630, 1_200].map(|load_ms| Scenario::new(300, load_ms)));
 }
 
 #[test]
-fn wherever_loads_never_end() {
-    holds(with_faults(Fault::Orders(Manner::Hangs)));
+fn with_hung_loads() {
+    check(with_faults(Fault::Orders(Behavior::Hangs)));
 }
 
 #[test]
-fn wherever_replicas_refuse() {
-    holds(with_faults(Fault::Orders(Manner::Refuses)));
+fn with_refused_orders() {
+    check(with_faults(Fault::Orders(Behavior::Refuses)));
 }
 
 #[test]
-fn wherever_orders_get_no_answer() {
-    holds(with_faults(Fault::Orders(Manner::Mute)));
+fn with_ignored_orders() {
+    check(with_faults(Fault::Orders(Behavior::IgnoresOrders)));
 }
 
 #[test]
-fn wherever_replicas_answer_with_a_conflict() {
-    holds(with_faults(Fault::Orders(Manner::Conflicts)));
+fn with_conflicting_orders() {
+    check(with_faults(Fault::Orders(Behavior::Conflicts)));
 }
 
 #[test]
-fn wherever_questions_get_no_answer() {
-    holds(with_faults(Fault::Deaf));
+fn with_ignored_queries() {
+    check(with_faults(Fault::IgnoresQueries));
 }
 
 #[test]
-fn whenever_the_leader_starts_again() {
+fn with_leader_restarts() {
     let changes = [vec![200], vec![2_500], vec![5_000], vec![200, 2_500], vec![5_000, 200]];
-    holds(
-        sizes_and_loads()
-            .flat_map(|play| changes.clone().map(|changes_ms| Play { changes_ms, ..play.clone() })),
-    );
+    check(sizes_and_loads().flat_map(|scenario| {
+        changes
+            .clone()
+            .map(|leader_restarts_ms| Scenario { leader_restarts_ms, ..scenario.clone() })
+    }));
 }
 
 #[test]
-fn where_loads_never_end_and_the_leader_starts_again() {
+fn with_hung_loads_and_leader_restarts() {
     let changes = [vec![200], vec![2_500], vec![5_000]];
-    let plays = with_faults(Fault::Orders(Manner::Hangs)).filter(|play| play.replicas <= 24);
-    holds(
-        plays
-            .flat_map(|play| changes.clone().map(|changes_ms| Play { changes_ms, ..play.clone() })),
-    );
+    let scenarios =
+        with_faults(Fault::Orders(Behavior::Hangs)).filter(|scenario| scenario.replicas <= 24);
+    check(scenarios.flat_map(|scenario| {
+        changes
+            .clone()
+            .map(|leader_restarts_ms| Scenario { leader_restarts_ms, ..scenario.clone() })
+    }));
 }
 
-/// Each version within its own bound, where a second and a third are named within the first one's roll-out.
+/// Each version must meet its own deadline when further versions are published during the roll-out.
 #[test]
-fn where_newer_versions_are_named_meanwhile() {
+fn with_newer_versions_published_meanwhile() {
     for (replicas, load_ms) in [(6, 630), (12, 300), (12, 630), (12, 1_200), (60, 630)] {
         let mut world = World::new(0);
         for number in 0..replicas {
@@ -259,20 +256,20 @@
             world.replicas.get_mut(&id).unwrap().load = Duration::from_millis(load_ms);
         }
         world.run_for(Duration::from_secs(10));
-        let named = world.now;
+        let published_at = world.now;
         let mut due = Vec::new();
         for (version, after_ms) in [(2, 0), (3, 1_500), (4, 3_000)] {
-            while world.now < named + Duration::from_millis(after_ms) {
+            while world.now < published_at + Duration::from_millis(after_ms) {
                 world.run_for(STEP);
             }
-            world.name(version);
-            due.push((version, world.now + SPREAD));
+            world.publish(version);
+            due.push((version, world.now + DEADLINE));
         }
         for (version, at) in due {
             while world.now < at {
                 world.run_for(STEP);
             }
-            let late = world.replicas.values().filter(|one| one.version < version).count();
+            let late = world.replicas.values().filter(|replica| replica.version < version).count();
             assert_eq!(
                 late, 0,
                 "of {replicas} with loads of {load_ms} ms, below version {version}"
@@ -281,7 +278,7 @@
     }
 }
 
-/// Two services with a model each, of which one is slow: neither waits for the other.
+/// A slow service must not delay another one.
 #[test]
 fn with_two_services_and_two_models() {
     for (load_ms, other_ms) in [(630, 1_200), (1_200, 300), (1_200, 1_200)] {
@@ -290,32 +287,32 @@
             let id = format!("r{number:03}");
             world.add_started(&id, 1_000_000);
             let replica = world.replicas.get_mut(&id).unwrap();
-            let is_other = number % 2 == 1;
-            replica.load = Duration::from_millis(if is_other { other_ms } else { load_ms });
-            if is_other {
+            let is_other_service = number % 2 == 1;
+            replica.load = Duration::from_millis(if is_other_service { other_ms } else { load_ms });
+            if is_other_service {
                 (replica.model, replica.service) = ("other".to_owned(), "others".to_owned());
             }
         }
         world.run_for(Duration::from_secs(10));
-        world.name_for(MODEL, 2);
+        world.publish_for(MODEL, 2);
         let first = world.now;
         world.run_for(Duration::from_millis(700));
-        world.name_for("other", 2);
+        world.publish_for("other", 2);
         let second = world.now;
-        for (model, named) in [(MODEL, first), ("other", second)] {
-            while world.now < named + SPREAD {
+        for (model, published_at) in [(MODEL, first), ("other", second)] {
+            while world.now < published_at + DEADLINE {
                 world.run_for(STEP);
             }
-            let replicas = world.replicas.values().filter(|one| one.model == model);
-            let late = replicas.filter(|one| one.version < 2).count();
+            let replicas = world.replicas.values().filter(|replica| replica.model == model);
+            let late = replicas.filter(|replica| replica.version < 2).count();
             assert_eq!(late, 0, "of 12 with {model}, loads of {load_ms} and {other_ms} ms");
         }
     }
 }
 
-/// Replicas fall silent and others come while a version is rolled out; each that was there at the naming, and stays, is in time.
+/// Replicas that were present at the publication, and stay, must meet the deadline.
 #[test]
-fn while_replicas_come_and_go() {
+fn with_replicas_added_and_removed() {
     for load_ms in [300, 630, 1_200] {
         let mut world = World::new(0);
         for number in 0..18 {
@@ -324,8 +321,8 @@
             world.replicas.get_mut(&id).unwrap().load = Duration::from_millis(load_ms);
         }
         world.run_for(Duration::from_secs(10));
-        world.name(2);
-        let named = world.now;
+        world.publish(2);
+        let published_at = world.now;
         for number in 0..4 {
             world.run_for(Duration::from_millis(900));
             world.replicas.get_mut(&format!("r{:03}", number * 4)).unwrap().is_silent = true;
@@ -333,43 +330,49 @@
             world.add_started(&id, 2_000_000);
             world.replicas.get_mut(&id).unwrap().load = Duration::from_millis(load_ms);
         }
-        while world.now < named + SPREAD {
+        while world.now < published_at + DEADLINE {
             world.run_for(STEP);
         }
         let stayed =
-            world.replicas.iter().filter(|(id, one)| id.starts_with('r') && !one.is_silent);
-        let late = stayed.filter(|(_, one)| one.version < 2).count();
+            world.replicas.iter().filter(|(id, replica)| id.starts_with('r') && !replica.is_silent);
+        let late = stayed.filter(|(_, replica)| replica.version < 2).count();
         assert_eq!(late, 0, "of 14 with loads of {load_ms} ms");
-        world.run_for(SPREAD);
-        assert!(world.replicas.values().filter(|one| !one.is_silent).all(|one| one.version == 2));
+        world.run_for(DEADLINE);
+        assert!(
+            world
+                .replicas
+                .values()
+                .filter(|replica| !replica.is_silent)
+                .all(|replica| replica.version == 2)
+        );
     }
 }
 
-/// A store that feeds two loads at full speed: three or four at a time take twice as long each. Loading more at a time saves nothing there, and
-/// takes replicas away; the plan must find that out and not widen for ever.
+/// The store slows down with more than two loads at a time, so more concurrent loads save no time.
+/// The plan must not raise the concurrency.
 #[test]
-fn where_the_store_is_the_limit_few_load_at_a_time() {
+fn few_loads_run_at_a_time_with_a_limited_store() {
     let mut world = World::new(0);
     for number in 0..12 {
         world.add_started(&format!("r{number:03}"), 1_000_000);
     }
-    world.store_loads = 2;
+    world.max_full_speed_loads = 2;
     world.run_for(Duration::from_secs(10));
     for version in 2..8 {
-        world.name(version);
-        world.run_for(SPREAD);
-        let late = world.replicas.values().filter(|one| one.version < version).count();
+        world.publish(version);
+        world.run_for(DEADLINE);
+        let late = world.replicas.values().filter(|replica| replica.version < version).count();
         assert_eq!(late, 0, "below version {version}");
         world.run_for(Duration::from_secs(5));
     }
-    assert!(world.most_loading <= 4, "{} loaded at once", world.most_loading);
+    assert!(world.max_loading <= 4, "{} loaded at once", world.max_loading);
     let orders = world.orders.len();
     assert!(orders <= 12 * 6, "{orders} orders for 12 replicas and 6 versions");
 }
 
-/// Where the bound can't hold, that is said while there is time to act on it: three replicas, two of which may be away, with loads of 6 s.
+/// If the deadline can't be met, this must be reported early enough to act on it.
 #[test]
-fn what_will_be_late_is_said_before_the_bound() {
+fn expected_lateness_is_reported_before_the_deadline() {
     let mut world = World::new(0);
     for number in 0..6 {
         let id = format!("r{number:03}");
@@ -377,12 +380,16 @@
         world.replicas.get_mut(&id).unwrap().load = Duration::from_secs(5);
     }
     world.run_for(Duration::from_secs(10));
-    world.name(2);
-    let named = world.now;
-    world.run_for(SPREAD);
-    let late = world.replicas.values().filter(|one| one.version < 2).count();
-    assert!(late > 0, "the play is meant to be impossible");
-    let said = world.plans.iter().find(|(_, event)| event.plan.late > 0);
-    let said = said.map(|(at, _)| at.since(named)).expect("nothing said");
-    assert!(said + Duration::from_secs(3) <= SPREAD, "said {said:?} after the naming");
+    world.publish(2);
+    let published_at = world.now;
+    world.run_for(DEADLINE);
+    let late = world.replicas.values().filter(|replica| replica.version < 2).count();
+    assert!(late > 0, "the scenario must be impossible");
+    let reported_after = world.plans.iter().find(|(_, event)| event.plan.late > 0);
+    let reported_after =
+        reported_after.map(|(at, _)| at.since(published_at)).expect("no lateness reported");
+    assert!(
+        reported_after + Duration::from_secs(3) <= DEADLINE,
+        "reported {reported_after:?} after the publication"
+    );
 }
--- a/crates/control/tests/suspension.rs
+++ b/crates/control/tests/suspension.rs
@@ -1,5 +1,5 @@
-//! Machines that are suspended for seconds while the others go on. A promise to others rests on a clock that counts that
-//! time; with one that stands still a member goes on from where it stopped, and the checks here find that.
+//! Machines that are suspended for seconds. Leases need a clock that counts this time; with a clock
+//! that stops, the checks here must fail.
 
 mod common;
 
@@ -14,12 +14,12 @@
 
 const HOSTS: [Host; 3] = [1, 2, 3];
 /// Time within which a group has a leader.
-const SETTLING: Duration = Duration::from_secs(8);
+const ELECTION_TIME: Duration = Duration::from_secs(8);
 
-/// One step of a series.
+/// One step of a sequence.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// The leader is suspended right after it has heard from the others.
+    /// Suspends the leader right after it received messages.
     SuspendLeader,
     Suspend(Host),
     ResumeAll,
@@ -31,36 +31,36 @@
     Pass(u64),
 }
 
-/// The group, and what was promised by it.
-struct Story {
+/// The group, and the changes and reads to check.
+struct Scenario {
     world: World,
     next_version: u64,
     changes: BTreeMap<Token, u64>,
-    /// Reads by the newest version that had been acknowledged when they were sent.
+    /// Reads, with the newest acknowledged version when they were sent.
     reads: BTreeMap<Token, u64>,
     acknowledged: u64,
-    /// When each version was acknowledged first.
+    /// When each version was first acknowledged.
     acknowledged_at: Vec<(Time, u64)>,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
-impl Story {
+impl Scenario {
     fn new(do_clocks_stop: bool) -> Self {
-        let mut world = World::found(&HOSTS);
+        let mut world = World::new(&HOSTS);
         world.do_clocks_stop = do_clocks_stop;
-        world.until("a leader", SETTLING, |world| world.leader().is_some());
-        Story {
+        world.run_until("a leader", ELECTION_TIME, |world| world.leader().is_some());
+        Scenario {
             world,
             next_version: 1,
             changes: BTreeMap::new(),
             reads: BTreeMap::new(),
             acknowledged: 0,
             acknowledged_at: Vec::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::SuspendLeader => {
                 if let Some(leader) = self.world.leader() {
@@ -81,7 +81,7 @@
             }
             Step::Change => self.change(),
             Step::Read(host) => {
-                let token = self.world.ask(host, Request::Fleet(FleetRequest::ReadDocument));
+                let token = self.world.request(host, Request::Fleet(FleetRequest::ReadDocument));
                 self.reads.extend(token.map(|token| (token, self.acknowledged)));
             }
             Step::Pass(millis) => self.pass(Duration::from_millis(millis)),
@@ -94,25 +94,25 @@
             let version = self.next_version;
             let document = Document { version, ..Document::default() };
             let request = Request::Fleet(FleetRequest::PutDocument(document));
-            if let Some(token) = self.world.ask(host, request) {
+            if let Some(token) = self.world.request(host, request) {
                 self.changes.insert(token, version);
                 self.next_version += 1;
             }
         }
     }
 
-    /// A read is the first that each sees, and a gateway's request for news the second.
+    /// Each machine first sees a read, and then a watch request.
     fn resume_all(&mut self) {
         for host in HOSTS {
             let read = Request::Fleet(FleetRequest::ReadDocument);
             let Some(token) = self.world.resume(host, read) else { continue };
             self.reads.insert(token, self.acknowledged);
             self.collect();
-            self.check_news(host);
+            self.check_watch(host);
         }
     }
 
-    fn check_news(&mut self, host: Host) {
+    fn check_watch(&mut self, host: Host) {
         let watch = WatchRequest {
             gateway: None,
             seen: SeenVersions::default(),
@@ -120,16 +120,16 @@
             wait: Duration::ZERO,
             crashes: Default::default(),
         };
-        let token = self.world.ask(host, Request::Fleet(FleetRequest::Watch(watch)));
-        let answer = token.and_then(|token| self.world.answer(token));
-        let Some(Response::Fleet(FleetResponse::View(view))) = answer else { return };
+        let token = self.world.request(host, Request::Fleet(FleetRequest::Watch(watch)));
+        let response = token.and_then(|token| self.world.take_response(token));
+        let Some(Response::Fleet(FleetResponse::View(view))) = response else { return };
         let Some(staleness) = view.staleness else { return };
-        let vouched_for = self.world.now - staleness;
-        let before = self.acknowledged_at.iter().filter(|(at, _)| *at < vouched_for);
-        let owed = before.map(|(_, version)| *version).max().unwrap_or(0);
+        let known_until = self.world.now - staleness;
+        let before = self.acknowledged_at.iter().filter(|(at, _)| *at < known_until);
+        let expected = before.map(|(_, version)| *version).max().unwrap_or(0);
         let version = view.document.map_or(0, |document| document.version);
-        if version < owed {
-            self.broken.push(format!("{host} vouches for {version}, {owed} was acknowledged"));
+        if version < expected {
+            self.violations.push(format!("{host} returned {version}, {expected} was acknowledged"));
         }
     }
 
@@ -142,12 +142,12 @@
     }
 
     fn collect(&mut self) {
-        let holders = self.world.holders();
-        if holders.len() > 1 {
-            self.broken.push(format!("{holders:?} lead at {}", self.world.now));
+        let leaders = self.world.leaders();
+        if leaders.len() > 1 {
+            self.violations.push(format!("{leaders:?} lead at {}", self.world.now));
         }
         for (token, version) in std::mem::take(&mut self.changes) {
-            match self.world.answer(token) {
+            match self.world.take_response(token) {
                 Some(Response::Fleet(FleetResponse::Done)) => {
                     self.acknowledged = self.acknowledged.max(version);
                     self.acknowledged_at.push((self.world.now, version));
@@ -156,48 +156,50 @@
                 None => drop(self.changes.insert(token, version)),
             }
         }
-        for (token, owed) in std::mem::take(&mut self.reads) {
-            match self.world.answer(token) {
+        for (token, expected) in std::mem::take(&mut self.reads) {
+            match self.world.take_response(token) {
                 Some(Response::Fleet(FleetResponse::Document(document))) => {
                     let version = document.map_or(0, |document| document.version);
-                    if version < owed {
-                        self.broken.push(format!("read {version}, {owed} was acknowledged"));
+                    if version < expected {
+                        self.violations
+                            .push(format!("read {version}, {expected} was acknowledged"));
                     }
                 }
                 Some(_) => {}
-                None => drop(self.reads.insert(token, owed)),
+                None => drop(self.reads.insert(token, expected)),
             }
         }
     }
 }
 
-/// A leader is suspended, the others elect the next one and accept a change, and the first is back.
-fn suspended_leader(do_clocks_stop: bool) -> Story {
-    let mut story = Story::new(do_clocks_stop);
-    story.take(Step::Change);
-    story.take(Step::Pass(500));
-    let first = story.world.leader().unwrap();
-    story.take(Step::SuspendLeader);
-    story.world.until("another leader", SETTLING, |world| {
+/// A leader is suspended and resumed after the others have elected another one and accepted a
+/// change.
+fn suspended_leader(do_clocks_stop: bool) -> Scenario {
+    let mut scenario = Scenario::new(do_clocks_stop);
+    scenario.apply(Step::Change);
+    scenario.apply(Step::Pass(500));
+    let first = scenario.world.leader().unwrap();
+    scenario.apply(Step::SuspendLeader);
+    scenario.world.run_until("another leader", ELECTION_TIME, |world| {
         world.leader().is_some_and(|leader| leader != first)
     });
-    story.take(Step::Change);
-    story.take(Step::Pass(500));
-    story.take(Step::ResumeAll);
-    story.take(Step::Pass(2_000));
-    assert!(story.acknowledged > 1);
-    story
+    scenario.apply(Step::Change);
+    scenario.apply(Step::Pass(500));
+    scenario.apply(Step::ResumeAll);
+    scenario.apply(Step::Pass(2_000));
+    assert!(scenario.acknowledged > 1);
+    scenario
 }
 
 cases! {
-    a_suspended_leader_answers_nothing_that_is_over => {
-        assert_eq!(suspended_leader(false).broken, [""; 0]);
+    a_resumed_leader_returns_no_stale_data => {
+        assert_eq!(suspended_leader(false).violations, [""; 0]);
     }
 
-    /// The fault that the checks must see.
-    a_clock_that_stands_still_breaks_promises => {
-        let broken = suspended_leader(true).broken;
-        assert!(broken.iter().any(|what| what.starts_with("read")), "{broken:?}");
+    /// The checks must detect the fault.
+    a_clock_stopped_by_suspension_breaks_guarantees => {
+        let violations = suspended_leader(true).violations;
+        assert!(violations.iter().any(|what| what.starts_with("read")), "{violations:?}");
     }
 }
 
@@ -219,18 +221,18 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn suspensions_break_no_promise(steps in prop::collection::vec(any_step(), 10..40)) {
-        let mut story = Story::new(false);
-        steps.into_iter().for_each(|step| story.take(step));
-        story.take(Step::Heal);
-        story.take(Step::ResumeAll);
-        story.world.until("a leader", SETTLING, |world| world.leader().is_some());
-        let leader = story.world.leader().unwrap();
-        story.take(Step::Pass(1_000));
-        story.take(Step::Read(leader));
-        story.take(Step::Pass(500));
-        prop_assert!(story.broken.is_empty(), "{:?}", story.broken);
-        let version = story.world.member(leader).unwrap().state().fleet.document_version();
-        prop_assert!(version >= story.acknowledged, "a change is lost");
+    fn suspensions_break_no_guarantee(steps in prop::collection::vec(any_step(), 10..40)) {
+        let mut scenario = Scenario::new(false);
+        steps.into_iter().for_each(|step| scenario.apply(step));
+        scenario.apply(Step::Heal);
+        scenario.apply(Step::ResumeAll);
+        scenario.world.run_until("a leader", ELECTION_TIME, |world| world.leader().is_some());
+        let leader = scenario.world.leader().unwrap();
+        scenario.apply(Step::Pass(1_000));
+        scenario.apply(Step::Read(leader));
+        scenario.apply(Step::Pass(500));
+        prop_assert!(scenario.violations.is_empty(), "{:?}", scenario.violations);
+        let version = scenario.world.member(leader).unwrap().state().fleet.document_version();
+        prop_assert!(version >= scenario.acknowledged, "a change is lost");
     }
 }
--- a/crates/control/tests/watchers.rs
+++ b/crates/control/tests/watch_updates.rs
@@ -1,5 +1,5 @@
-//! What the leader tells gateways that all start together, as after a loss of all power: each thing once, and changes that
-//! come together in one answer.
+//! Responses to gateways that all start together, as after a power loss: each change is sent once,
+//! and concurrent changes are combined.
 
 mod common;
 
@@ -13,67 +13,70 @@
 use topazmount_types::{Instance, Start};
 
 const HOSTS: [Host; 3] = [1, 2, 3];
-const SETTLING: Duration = Duration::from_secs(8);
+const ELECTION_TIME: Duration = Duration::from_secs(8);
 /// Time in which all gateways and replicas start.
-const STARTING: Duration = Duration::from_millis(1_000);
-/// Time in which it is counted what they are told.
-const COUNTED: Duration = Duration::from_secs(4);
+const STARTUP: Duration = Duration::from_millis(1_000);
+/// Time in which responses are counted.
+const MEASURED: Duration = Duration::from_secs(4);
 const STEP: Duration = Duration::from_millis(10);
 const HOLD: Duration = Duration::from_millis(400);
 
-/// A gateway that asks for news again and again.
+/// A gateway that sends watch requests continuously.
 struct Gateway {
     report: GatewayReport,
     seen: SeenVersions,
     token: Option<Token>,
-    /// Gateways that it knows.
+    /// Known gateways.
     gateways: BTreeSet<String>,
     replicas: BTreeSet<String>,
 }
 
-/// What one gateway was told, on average.
-struct Told {
-    answers: f64,
+/// Average responses and bytes of one gateway.
+struct Received {
+    responses: f64,
     bytes: f64,
 }
 
-fn start_together(gateways: usize, replicas: usize) -> Told {
-    let mut world = World::found(&HOSTS);
-    world.until("a leader", SETTLING, |world| world.leader().is_some());
+fn start_together(gateways: usize, replicas: usize) -> Received {
+    let mut world = World::new(&HOSTS);
+    world.run_until("a leader", ELECTION_TIME, |world| world.leader().is_some());
     let leader = world.leader().unwrap();
     let mut all: Vec<Gateway> = (0..gateways).map(gateway).collect();
-    let (mut answers, mut bytes) = (0, 0);
-    let steps = (STARTING + COUNTED).as_millis() / STEP.as_millis();
-    let starting = STARTING.as_millis() / STEP.as_millis();
+    let (mut responses, mut bytes) = (0, 0);
+    let steps = (STARTUP + MEASURED).as_millis() / STEP.as_millis();
+    let startup_steps = STARTUP.as_millis() / STEP.as_millis();
     for step in 0..steps {
-        let begun =
-            |count: usize| (count as u128 * (step + 1) / starting).min(count as u128) as usize;
-        let due =
-            if step == 0 { 0 } else { (replicas as u128 * step / starting).min(replicas as u128) };
-        for number in due as usize..begun(replicas) {
+        let started =
+            |count: usize| (count as u128 * (step + 1) / startup_steps).min(count as u128) as usize;
+        let due = if step == 0 {
+            0
+        } else {
+            (replicas as u128 * step / startup_steps).min(replicas as u128)
+        };
+        for number in due as usize..started(replicas) {
             let request = Request::Fleet(FleetRequest::Heartbeat(replica(number)));
-            world.ask(leader, request).unwrap();
+            world.request(leader, request).unwrap();
         }
-        for gateway in &mut all[..begun(gateways)] {
-            let answer = gateway.token.and_then(|token| world.answer(token));
-            if let Some(Response::Fleet(FleetResponse::View(view))) = answer {
-                answers += 1;
+        for gateway in &mut all[..started(gateways)] {
+            let response = gateway.token.and_then(|token| world.take_response(token));
+            if let Some(Response::Fleet(FleetResponse::View(view))) = response {
+                responses += 1;
                 bytes += rmp_serde::to_vec(&view).unwrap().len();
-                gateway.read(*view);
+                gateway.apply(*view);
                 gateway.token = None;
             }
             if gateway.token.is_none() {
-                gateway.token = world.ask(leader, gateway.request());
+                gateway.token = world.request(leader, gateway.request());
             }
         }
         world.run(STEP);
     }
-    for one in &all {
-        assert_eq!(one.gateways.len(), gateways, "each knows all gateways");
-        assert_eq!(one.replicas.len(), replicas, "each knows all replicas");
+    for gateway in &all {
+        assert_eq!(gateway.gateways.len(), gateways, "each knows all gateways");
+        assert_eq!(gateway.replicas.len(), replicas, "each knows all replicas");
     }
     let count = gateways as f64;
-    Told { answers: f64::from(answers) / count, bytes: bytes as f64 / count }
+    Received { responses: f64::from(responses) / count, bytes: bytes as f64 / count }
 }
 
 fn gateway(number: usize) -> Gateway {
@@ -116,36 +119,35 @@
         }))
     }
 
-    fn read(&mut self, view: FleetView) {
-        self.replicas.extend(view.instances.iter().map(|one| one.id.clone()));
+    fn apply(&mut self, view: FleetView) {
+        self.replicas.extend(view.instances.iter().map(|entry| entry.id.clone()));
         self.seen.revision = view.revision;
         if let Some((count, _)) = &view.statuses {
             self.seen.statuses = *count;
         }
-        self.read_gateways(&view);
+        self.apply_gateways(&view);
     }
 }
 
-/// Where each change went to all at once, and the whole list of gateways with each: 17 KB in 43 answers with 30 gateways, and
-/// 428 KB in 62 with 300.
+/// Sending every change at once, with the full gateway list, would grow much faster.
 #[test]
-fn what_a_gateway_is_told_grows_no_faster_than_the_fleet() {
+fn responses_to_a_gateway_grow_no_faster_than_the_fleet() {
     let small = start_together(30, 36);
     let large = start_together(300, 360);
-    println!("30: {:.1} answers, {:.0} bytes", small.answers, small.bytes);
-    println!("300: {:.1} answers, {:.0} bytes", large.answers, large.bytes);
-    assert!(large.answers <= 1.2 * small.answers, "{} answers", large.answers);
+    println!("30: {:.1} responses, {:.0} bytes", small.responses, small.bytes);
+    println!("300: {:.1} responses, {:.0} bytes", large.responses, large.bytes);
+    assert!(large.responses <= 1.2 * small.responses, "{} responses", large.responses);
     assert!(large.bytes <= 10.0 * small.bytes, "{} of {} bytes", large.bytes, small.bytes);
 }
 
 impl Gateway {
-    fn read_gateways(&mut self, view: &FleetView) {
-        let Some(news) = &view.gateways else { return };
-        self.seen.gateways = news.count;
-        if news.is_full {
+    fn apply_gateways(&mut self, view: &FleetView) {
+        let Some(update) = &view.gateways else { return };
+        self.seen.gateways = update.count;
+        if update.is_full {
             self.gateways.clear();
         }
-        self.gateways.retain(|address| !news.removed.contains(address));
-        self.gateways.extend(news.changed.iter().map(|one| one.address.clone()));
+        self.gateways.retain(|address| !update.removed.contains(address));
+        self.gateways.extend(update.changed.iter().map(|entry| entry.address.clone()));
     }
 }
