--- a/crates/consensus/tests/explorer.rs
+++ b/crates/consensus/tests/explorer.rs
@@ -1,8 +1,5 @@
-//! Every order of deliveries, losses, timeouts, proposals and crashes of three members, up to a
-//! stated number of steps.
-//!
-//! Two states count as equal when roles, terms, votes, logs, commit positions, messages under way
-//! and what is left of each budget are equal; timers are left out of the comparison.
+//! Exhaustive exploration of deliveries, losses, timeouts, proposals and crashes of three members,
+//! up to a fixed depth. Safety is checked in every state.
 
 mod common;
 
@@ -12,12 +9,12 @@
 use topazmount_consensus::{Entry, Envelope, Index, MemberId, MemoryDisk, Role, Term};
 use topazmount_types::{Digest, Time};
 
-/// Steps of an exploration from each start.
+/// Steps from each initial state.
 const DEPTH: usize = 6;
-/// What may happen at most so often in one run.
+/// Maximum number of each event on a path.
 const BUDGET: Budget = Budget { losses: 1, timeouts: 2, proposals: 1, crashes: 1 };
-/// Fewest distinct states that must be reached, so that a change of the bounds is noticed.
-const LEAST_STATES: usize = 4_000;
+/// Minimum number of distinct states, to detect a reduced exploration.
+const MIN_STATES: usize = 4_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Budget {
@@ -47,7 +44,7 @@
 }
 
 impl State {
-    fn first() -> State {
+    fn initial() -> State {
         let now = Time::from_secs(1);
         let first = founding(&[1, 2, 3]);
         let open = |id| Peer::open(id, MemoryDisk::default(), Some(&first), now);
@@ -67,7 +64,7 @@
             steps.extend((0..self.messages.len()).map(Step::Lose));
         }
         for (number, peer) in self.peers.iter().enumerate() {
-            let is_leader = peer.replica.role() == Role::Leader;
+            let is_leader = peer.member.role() == Role::Leader;
             if self.budget.timeouts > 0 && !is_leader {
                 steps.push(Step::TimeOut(number));
             }
@@ -86,7 +83,7 @@
             Step::Deliver(number) => {
                 let envelope = self.messages.remove(number);
                 let to = envelope.to.0 as usize - 1;
-                self.peers[to].replica.step(self.now, envelope);
+                self.peers[to].member.step(self.now, envelope);
                 self.settle(to);
             }
             Step::Lose(number) => {
@@ -96,14 +93,14 @@
             Step::TimeOut(number) => {
                 self.budget.timeouts -= 1;
                 let peer = &mut self.peers[number];
-                self.now = self.now.max(peer.replica.next_wakeup());
-                peer.replica.tick(self.now);
+                self.now = self.now.max(peer.member.next_wakeup());
+                peer.member.tick(self.now);
                 self.settle(number);
             }
             Step::Propose(number) => {
                 self.budget.proposals -= 1;
-                let _ = self.peers[number].replica.propose(b"command".to_vec());
-                self.peers[number].replica.flush_proposals();
+                let _ = self.peers[number].member.propose(b"command".to_vec());
+                self.peers[number].member.flush_proposals();
                 self.settle(number);
             }
             Step::Crash(number) => {
@@ -126,18 +123,18 @@
     }
 
     fn check(&mut self, number: usize) {
-        let replica = &self.peers[number].replica;
-        if replica.role() == Role::Leader {
-            let known = *self.leaders.entry(replica.term()).or_insert(replica.id());
-            assert_eq!(known, replica.id(), "election safety: term {}", replica.term());
-            // Leader completeness: a new leader has what was committed before its term.
-            for entry in self.committed.values().filter(|entry| entry.term < replica.term()) {
-                let has = replica.entries_after(1).iter().any(|own| own == entry);
+        let member = &self.peers[number].member;
+        if member.role() == Role::Leader {
+            let known = *self.leaders.entry(member.term()).or_insert(member.id());
+            assert_eq!(known, member.id(), "election safety: term {}", member.term());
+            // Leader completeness: a new leader has all entries committed in earlier terms.
+            for entry in self.committed.values().filter(|entry| entry.term < member.term()) {
+                let has = member.entries_after(1).iter().any(|own| own == entry);
                 assert!(has, "leader completeness: entry {}", entry.index);
             }
         }
-        for entry in replica.entries_after(1) {
-            if entry.index > replica.commit() {
+        for entry in member.entries_after(1) {
+            if entry.index > member.commit() {
                 break;
             }
             let known = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
@@ -148,13 +145,13 @@
     fn fingerprint(&self) -> u128 {
         let mut text = format!("{:?}{:?}", self.budget, self.now);
         for peer in &self.peers {
-            let replica = &peer.replica;
+            let member = &peer.member;
             text.push_str(&format!(
                 "|{:?}{}{}{:?}",
-                replica.role(),
-                replica.term(),
-                replica.commit(),
-                replica.entries_after(1)
+                member.role(),
+                member.term(),
+                member.commit(),
+                member.entries_after(1)
             ));
         }
         let mut messages: Vec<String> =
@@ -165,14 +162,14 @@
     }
 }
 
-/// Before any election.
-fn at_rest() -> State {
-    State::first()
+/// Before the first election.
+fn before_election() -> State {
+    State::initial()
 }
 
-/// Somebody stands for election; its requests are under way.
-fn in_election() -> State {
-    let mut state = State::first();
+/// During an election: the vote requests are in flight.
+fn during_election() -> State {
+    let mut state = State::initial();
     state.apply(Step::TimeOut(0));
     while state.messages.iter().any(|envelope| envelope.to == MemberId(1))
         || state.messages.len() > 2
@@ -183,26 +180,26 @@
     state
 }
 
-/// The first member leads, and an entry of it is under way.
-fn with_entry_under_way() -> State {
-    let mut state = State::first();
+/// The first member is the leader, and a proposal is in flight.
+fn with_proposal_in_flight() -> State {
+    let mut state = State::initial();
     state.apply(Step::TimeOut(0));
     while !state.messages.is_empty() {
         state.apply(Step::Deliver(0));
     }
-    assert_eq!(state.peers[0].replica.role(), Role::Leader);
+    assert_eq!(state.peers[0].member.role(), Role::Leader);
     state.apply(Step::Propose(0));
     state.budget = BUDGET;
     state
 }
 
 #[rstest]
-#[case::at_rest(at_rest())]
-#[case::in_election(in_election())]
-#[case::with_entry_under_way(with_entry_under_way())]
-fn no_order_of_events_breaks_safety(#[case] first: State) {
+#[case::before_election(before_election())]
+#[case::during_election(during_election())]
+#[case::with_proposal_in_flight(with_proposal_in_flight())]
+fn no_order_of_events_violates_safety(#[case] initial: State) {
     let mut seen = HashSet::new();
-    let mut level = vec![first];
+    let mut level = vec![initial];
     for _ in 0..DEPTH {
         let mut next = Vec::new();
         for state in &level {
@@ -217,5 +214,5 @@
         level = next;
     }
     println!("{} distinct states in {DEPTH} steps", seen.len());
-    assert!(seen.len() >= LEAST_STATES, "only {} states were reached", seen.len());
+    assert!(seen.len() >= MIN_STATES, "only {} states were reached", seen.len());
 }
