--- a/crates/topazmount/src/fleet/exchange/choose.rs
+++ b/crates/topazmount/src/fleet/exchange/choose.rs
@@ -106,7 +106,7 @@
                     return Ok(knowledge.choose_in_shard(&request, Some(shard), now));
                 }
             }
-            if let Some(choice) = self.request_choice(plan, shard, coordinator).await {
+            if let Some(choice) = self.request_placement(plan, shard, coordinator).await {
                 return Ok(choice);
             }
         }
@@ -115,7 +115,7 @@
 
     /// Asks one coordinator: `None` if it does not respond, otherwise its choice, if it has one that
     /// this gateway may use.
-    async fn request_choice(
+    async fn request_placement(
         &self,
         plan: &RequestPlan,
         shard: Shard,
@@ -123,10 +123,11 @@
     ) -> Option<Option<Choice>> {
         let request = self.choice_request(plan);
         let now = self.shared.clock.now();
-        let question =
+        let placement_request =
             self.shared.knowledge.lock().unwrap().placement_request(&request, shard, now)?;
         let timeout = COORDINATOR_TIMEOUT.min(self.remaining_time());
-        let response = self.shared.peers.request_choice(coordinator, question, timeout).await;
+        let response =
+            self.shared.peers.request_placement(coordinator, placement_request, timeout).await;
         let now = self.shared.clock.now();
         let mut knowledge = self.shared.knowledge.lock().unwrap();
         let Some(offer) = response else {
--- a/crates/topazmount/src/fleet/exchange/limit.rs
+++ b/crates/topazmount/src/fleet/exchange/limit.rs
@@ -54,16 +54,16 @@
 impl Drop for Grant<'_> {
     fn drop(&mut self) {
         let now = self.shared.clock.now();
-        let Some((granting, stripe)) = self.source else { return };
+        let Some((granter, stripe)) = self.source else { return };
         if self.may_have_run.load(Ordering::SeqCst) || now >= self.granted_at + RETURN_WINDOW {
             return;
         }
-        match granting {
+        match granter {
             Granter::Local => {
                 self.shared.knowledge.lock().unwrap().return_units(stripe, self.amount, now);
             }
-            Granter::Remote(granter) => {
-                self.shared.peers.return_units(granter, stripe, self.amount)
+            Granter::Remote(address) => {
+                self.shared.peers.return_units(address, stripe, self.amount)
             }
         }
     }
@@ -88,11 +88,11 @@
         for offset in 0..STRIPES {
             let stripe = StripeId { owner: tenant, stripe: (first_stripe + offset) % STRIPES };
             let requested_at = self.shared.clock.now();
-            let granting = self.shared.knowledge.lock().unwrap().granter(stripe, requested_at);
-            let Some(granting) = granting else { continue };
-            match self.request_tenant_grant(granting, stripe, amount).await {
+            let granter = self.shared.knowledge.lock().unwrap().granter(stripe, requested_at);
+            let Some(granter) = granter else { continue };
+            match self.request_tenant_grant(granter, stripe, amount).await {
                 Some(GrantResponse::Granted) => {
-                    return Ok(Some(grant(Some((granting, stripe)), requested_at)));
+                    return Ok(Some(grant(Some((granter, stripe)), requested_at)));
                 }
                 Some(GrantResponse::LimitExceeded(wait)) => {
                     min_wait = Some(min_wait.map_or(wait, |known| known.min(wait)));
@@ -106,21 +106,21 @@
 
     async fn request_tenant_grant(
         &self,
-        granting: Granter,
+        granter: Granter,
         stripe: StripeId,
         amount: u32,
     ) -> Option<GrantResponse> {
-        let granter = match granting {
+        let address = match granter {
             Granter::Local => {
                 let now = self.shared.clock.now();
                 return Some(self.shared.knowledge.lock().unwrap().grant(stripe, amount, now));
             }
-            Granter::Remote(granter) => granter,
+            Granter::Remote(address) => address,
         };
         let timeout = GRANT_TIMEOUT.min(self.remaining_time());
-        let response = self.shared.peers.request_grant(granter, stripe, amount, timeout).await;
+        let response = self.shared.peers.request_grant(address, stripe, amount, timeout).await;
         if response.is_none() {
-            self.record_silent_granter(granter);
+            self.record_silent_granter(address);
         }
         response
     }
@@ -162,12 +162,12 @@
     /// is not chosen for a while.
     pub(super) async fn acquire_send_grant(&self, choice: &Choice) -> Option<Grant<'e>> {
         let requested_at = self.shared.clock.now();
-        let (update, granting) = {
+        let (update, granter) = {
             let mut knowledge = self.shared.knowledge.lock().unwrap();
             let update = knowledge.limit_update(choice, requested_at)?;
             (update, knowledge.send_granter(update.replica, requested_at))
         };
-        let response = match granting {
+        let response = match granter {
             None => None,
             Some(Granter::Local) => {
                 let response =
@@ -175,10 +175,10 @@
                 self.shared.metrics.count_event(send_grant_event(response));
                 Some(response)
             }
-            Some(Granter::Remote(granter)) => self.request_send_grant(granter, update).await,
+            Some(Granter::Remote(address)) => self.request_send_grant(address, update).await,
         };
         if response == Some(GrantResponse::Granted) {
-            let source = granting.map(|granting| (granting, StripeId::of_replica(update.replica)));
+            let source = granter.map(|granter| (granter, StripeId::of_replica(update.replica)));
             let may_have_run = AtomicBool::new(false);
             return Some(Grant {
                 shared: self.shared,
--- a/crates/topazmount/src/fleet/exchange/load_shedding.rs
+++ b/crates/topazmount/src/fleet/exchange/load_shedding.rs
@@ -16,7 +16,7 @@
         if has_started || self.metadata.prompt.is_none() {
             return None;
         }
-        let prospect = TtftEstimate {
+        let ttft = TtftEstimate {
             estimate: Duration::from_secs_f64(choice.estimate_ms.max(0.0) / 1_000.0),
             elapsed: self.shared.clock.now().since(self.received_at),
             target: self.admission.route.target_latency,
@@ -24,7 +24,7 @@
             has_empty_queue: choice.has_empty_queue,
             slot_utilization: choice.slot_utilization,
         };
-        let wait = prospect.retry_delay_if_late(rand::random())?;
+        let wait = ttft.retry_delay_if_late(rand::random())?;
         self.shared.metrics.count_event("refused_late");
         self.shared.event_log.info(|| {
             format!(
@@ -32,7 +32,7 @@
                 self.metadata.id,
                 choice.instance.id,
                 choice.estimate_ms,
-                prospect.target.as_millis(),
+                ttft.target.as_millis(),
                 wait.as_millis()
             )
         });
--- a/crates/topazmount/src/fleet/orders.rs
+++ b/crates/topazmount/src/fleet/orders.rs
@@ -53,7 +53,7 @@
                 let response =
                     send(&order.address, self.dialect.order_call(&order, &self.leader)).await;
                 let pushback = self.pushback_report(&response, &order.instance, order.start);
-                let end = match &response {
+                let outcome = match &response {
                     Ok(response) => self.dialect.order_outcome(response.head.status),
                     Err(_) => OrderOutcome::Unknown,
                 };
@@ -65,10 +65,10 @@
                     order.version,
                     order.fence,
                     order.expected_sequence,
-                    end.name()
+                    outcome.name()
                 );
-                let outcome = ActionReport::Order(order.instance, order.start, end);
-                pushback.into_iter().chain([outcome]).collect()
+                let report = ActionReport::Order(order.instance, order.start, outcome);
+                pushback.into_iter().chain([report]).collect()
             }
             FleetAction::Query { instance, start, address } => {
                 let response = send(&address, self.dialect.report_call()).await;
@@ -79,8 +79,8 @@
                 if body.is_some() && report.is_none() {
                     self.external_log.record("report_foreign", &instance, "unreadable");
                 }
-                let outcome = ActionReport::Query(instance, report);
-                pushback.into_iter().chain([outcome]).collect()
+                let report = ActionReport::Query(instance, report);
+                pushback.into_iter().chain([report]).collect()
             }
         }
     }
--- a/crates/topazmount/src/fleet/peers.rs
+++ b/crates/topazmount/src/fleet/peers.rs
@@ -29,7 +29,7 @@
     /// Asks a coordinator for a replica; the number identifies the request.
     #[serde(rename = "Question")]
     PlacementRequest(u64, PlacementRequest),
-    /// Response to the choice request with this number; `None` if no replica is available.
+    /// Response to the placement request with this number; `None` if no replica is available.
     #[serde(rename = "Answer")]
     PlacementResponse(u64, Option<PlacementOffer>),
     /// Asks for units of a stripe of a tenant's limit.
@@ -51,7 +51,7 @@
 
 /// Response to a pending request.
 enum Response {
-    Choice(Option<PlacementOffer>),
+    Placement(Option<PlacementOffer>),
     Grant(GrantResponse),
 }
 
@@ -123,7 +123,7 @@
     }
 
     /// Asks a coordinator for a replica; `None` if it does not respond in time.
-    pub(super) async fn request_choice(
+    pub(super) async fn request_placement(
         &self,
         coordinator: SocketAddr,
         request: PlacementRequest,
@@ -137,7 +137,7 @@
             )
             .await
         {
-            Some(Response::Choice(offer)) => Some(offer),
+            Some(Response::Placement(offer)) => Some(offer),
             _ => None,
         }
     }
@@ -250,7 +250,7 @@
                 peers.send(vec![sender], GatewayMessage::PlacementResponse(request_id, offer));
             }
             Some(GatewayMessage::PlacementResponse(request_id, offer)) => {
-                peers.complete(request_id, Response::Choice(offer))
+                peers.complete(request_id, Response::Placement(offer))
             }
             Some(GatewayMessage::GrantRequest(request_id, stripe, amount)) => {
                 let response = shared.knowledge.lock().unwrap().grant(stripe, amount, now);
