--- a/crates/control/src/fleet/loading_slots.rs
+++ b/crates/control/src/fleet/loading_slots.rs
@@ -98,7 +98,8 @@
         let free = self.registered_records(instances);
         let free = free.filter(|(instance, replica)| is_free(replica) && may_call(instance));
         let outdated = free.filter_map(|(instance, replica)| {
-            let (model, version, published_at) = self.outdated_model(&replica.weights_record, weights)?;
+            let (model, version, published_at) =
+                self.outdated_model(&replica.weights_record, weights)?;
             let is_low_priority = now < replica.low_priority_until;
             let deadline = published_at + self.settings.deadline;
             let failures = replica.failures;
--- a/crates/control/tests/incarnations.rs
+++ b/crates/control/tests/incarnations.rs
@@ -198,7 +198,7 @@
             let replica = &self.world.replicas[&status.id];
             let is_down = self.down.contains_key(&status.id);
             let is_recorded = status.start == replica.start
-                && status.models.iter().any(|replica| replica.version == replica.version);
+                && status.models.iter().any(|loaded| loaded.version == replica.version);
             let is_available = status.availability != Availability::Excluded;
             assert!(
                 is_down || !is_available || !is_recorded || replica.version >= oldest,
