--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -169,7 +169,7 @@
     }
 
     /// The report for the control group.
-    pub fn notes(&mut self, now: Time) -> CrashReport {
+    pub fn report(&mut self, now: Time) -> CrashReport {
         self.local_ledger.expire(now);
         trim(&mut self.crash_notes, now);
         trim(&mut self.completion_notes, now);
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -39,10 +39,10 @@
 fn a_crash_is_reported_with_its_age_until_it_expires() {
     let mut crashes = CrashTracker::default();
     crashes.record_crash(REQUEST, "i-0", RUN, START);
-    let notes = crashes.notes(after_seconds(3));
-    assert_eq!((notes.crashes[0].age, notes.crashes[0].ran_for), (SECOND * 3, RUN));
-    assert!(!crashes.notes(after_seconds(30)).is_empty());
-    assert!(crashes.notes(after_seconds(31)).is_empty());
+    let report = crashes.report(after_seconds(3));
+    assert_eq!((report.crashes[0].age, report.crashes[0].ran_for), (SECOND * 3, RUN));
+    assert!(!crashes.report(after_seconds(30)).is_empty());
+    assert!(crashes.report(after_seconds(31)).is_empty());
 }
 
 #[test]
@@ -51,7 +51,7 @@
     for number in 0..500 {
         crashes.record_crash(RequestDigest(number), "i-0", RUN, START);
     }
-    assert_eq!(crashes.notes(START).crashes.len(), 64);
+    assert_eq!(crashes.report(START).crashes.len(), 64);
 }
 
 /// The completion of a suspected request is reported, that of another one is not.
@@ -61,9 +61,9 @@
     assert!(!crashes.record_completion(REQUEST, START));
     crashes.record_crash(REQUEST, "i-0", RUN, after_seconds(1));
     assert!(crashes.record_completion(REQUEST, after_seconds(2)));
-    let notes = crashes.notes(after_seconds(2));
-    assert!(notes.crashes.is_empty());
-    assert_eq!(notes.completed, [REQUEST]);
+    let report = crashes.report(after_seconds(2));
+    assert!(report.crashes.is_empty());
+    assert_eq!(report.completed, [REQUEST]);
     assert!(!crashes.record_completion(REQUEST, after_seconds(3)));
 }
 
@@ -74,7 +74,7 @@
     let mut crashes = CrashTracker::default();
     crashes.record_completion(REQUEST, after_seconds(8));
     crashes.set_blocked(&blocked(SECOND * 4), after_seconds(10));
-    assert_eq!(crashes.notes(after_seconds(10)).completed, [REQUEST]);
+    assert_eq!(crashes.report(after_seconds(10)).completed, [REQUEST]);
 }
 
 /// It may crash since new weights were loaded.
@@ -83,7 +83,7 @@
     let mut crashes = CrashTracker::default();
     crashes.record_completion(REQUEST, after_seconds(5));
     crashes.set_blocked(&blocked(SECOND * 4), after_seconds(10));
-    assert!(crashes.notes(after_seconds(10)).is_empty());
+    assert!(crashes.report(after_seconds(10)).is_empty());
 }
 
 #[test]
@@ -115,7 +115,7 @@
     fn suspected() -> CrashTracker {
         let mut crashes = CrashTracker::default();
         crashes.on_connection_broken(REQUEST, "i-0", RUN, START);
-        assert!(crashes.notes(START).is_empty());
+        assert!(crashes.report(START).is_empty());
         crashes
     }
 
@@ -123,8 +123,8 @@
     fn it_counts_from_the_break_once_the_replica_ended() {
         let mut crashes = suspected();
         assert_eq!(crashes.on_replica_ended("i-0", after_seconds(3)), 1);
-        let notes = crashes.notes(after_seconds(3));
-        assert_eq!((notes.crashes[0].age, notes.crashes[0].ran_for), (SECOND * 3, RUN));
+        let report = crashes.report(after_seconds(3));
+        assert_eq!((report.crashes[0].age, report.crashes[0].ran_for), (SECOND * 3, RUN));
         assert_eq!(crashes.on_replica_ended("i-0", after_seconds(3)), 0);
     }
 
--- a/crates/topazmount/src/fleet/clients.rs
+++ b/crates/topazmount/src/fleet/clients.rs
@@ -103,8 +103,8 @@
     let admission = if shared.refuses_requests.load(Ordering::SeqCst) {
         Err(ErrorKind::Draining)
     } else {
-        let mut knowledge = shared.knowledge.lock().unwrap();
-        knowledge.admit(host, head.path(), metadata.api_key.as_deref(), received_at)
+        let mut gateway_state = shared.gateway_state.lock().unwrap();
+        gateway_state.admit(host, head.path(), metadata.api_key.as_deref(), received_at)
     };
     let admission = match admission {
         Ok(admission) => admission,
@@ -115,9 +115,10 @@
     };
     let client = wire.writer();
     let engine = {
-        let knowledge = shared.knowledge.lock().unwrap();
-        let service =
-            knowledge.catalog().and_then(|catalog| catalog.service(&admission.service).cloned());
+        let gateway_state = shared.gateway_state.lock().unwrap();
+        let service = gateway_state
+            .catalog()
+            .and_then(|catalog| catalog.service(&admission.service).cloned());
         service.and_then(|service| service.engine)
     };
     let exchange = Exchange {
@@ -170,7 +171,7 @@
 ) {
     shared.metrics.record_response(kind.name(), Duration::ZERO);
     shared.event_log.info(|| {
-        let version = shared.knowledge.lock().unwrap().seen_versions().document;
+        let version = shared.gateway_state.lock().unwrap().seen_versions().document;
         format!(
             "gateway: event=answer request={} status={} reason={} host={host} path={path} \
              version={version}",
--- a/crates/topazmount/src/fleet/crash_watch.rs
+++ b/crates/topazmount/src/fleet/crash_watch.rs
@@ -60,7 +60,7 @@
     let name = instance.incarnation_name();
     for delay in RECHECK_DELAYS {
         Timer::after(delay).await;
-        if !shared.knowledge.lock().unwrap().crashes().is_suspected(&name) {
+        if !shared.gateway_state.lock().unwrap().crashes().is_suspected(&name) {
             return;
         }
         if check_ended(shared, instance).await {
@@ -77,7 +77,7 @@
     }
     let now = shared.clock.now();
     let name = instance.incarnation_name();
-    let requests = shared.knowledge.lock().unwrap().crashes().on_replica_ended(&name, now);
+    let requests = shared.gateway_state.lock().unwrap().crashes().on_replica_ended(&name, now);
     if requests > 0 {
         report_crash(shared, &instance.id, requests, "refused");
     }
--- a/crates/topazmount/src/fleet/exchange/attempt.rs
+++ b/crates/topazmount/src/fleet/exchange/attempt.rs
@@ -169,8 +169,8 @@
     async fn may_send(&self, in_flight: &InFlight<'_>, now: Time) -> bool {
         let choice = &in_flight.choice;
         let (may_send, is_limited) = {
-            let mut knowledge = self.shared.knowledge.lock().unwrap();
-            let balancer = knowledge.balancer();
+            let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+            let balancer = gateway_state.balancer();
             (balancer.may_send(choice, now), balancer.limit_of(choice).is_some())
         };
         if !may_send || !is_limited {
@@ -181,7 +181,7 @@
         }
         let Some(grant) = self.acquire_send_grant(choice).await else { return false };
         let now = self.shared.clock.now();
-        let may_send = self.shared.knowledge.lock().unwrap().balancer().may_send(choice, now);
+        let may_send = self.shared.gateway_state.lock().unwrap().balancer().may_send(choice, now);
         may_send && grant.take()
     }
 
@@ -220,7 +220,7 @@
     }
 
     fn is_excluded(&self, choice: &Choice) -> bool {
-        self.shared.knowledge.lock().unwrap().balancer().is_excluded(choice)
+        self.shared.gateway_state.lock().unwrap().balancer().is_excluded(choice)
     }
 
     /// Whether a request whose replica is silent may be sent to another one, and there is another.
@@ -229,8 +229,8 @@
             return false;
         }
         let now = self.shared.clock.now();
-        let mut knowledge = self.shared.knowledge.lock().unwrap();
-        knowledge.balancer().has_available_replica(&self.choice_request(plan), now)
+        let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+        gateway_state.balancer().has_available_replica(&self.choice_request(plan), now)
     }
 
     fn upstream_bytes(&self, choice: &Choice, progress: &ClientProgress) -> Vec<u8> {
--- a/crates/topazmount/src/fleet/exchange/choose.rs
+++ b/crates/topazmount/src/fleet/exchange/choose.rs
@@ -23,9 +23,9 @@
         let request = self.choice_request(plan);
         let now = self.shared.clock.now();
         let update = {
-            let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().on_sent(&choice, &request, now);
-            knowledge.load_update(&choice, &request, PromptEvent::Sent, now)
+            let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+            gateway_state.balancer().on_sent(&choice, &request, now);
+            gateway_state.load_update(&choice, &request, PromptEvent::Sent, now)
         };
         self.shared.peers.send_load_update(update);
         Some(InFlight {
@@ -60,7 +60,7 @@
     fn choose_locally(&self, plan: &RequestPlan) -> Option<Choice> {
         let request = self.choice_request(plan);
         let now = self.shared.clock.now();
-        self.shared.knowledge.lock().unwrap().choose(&request, now)
+        self.shared.gateway_state.lock().unwrap().choose(&request, now)
     }
 
     /// Asks the prompt's shards in order until one offers a replica that is not overloaded;
@@ -68,7 +68,7 @@
     async fn choose_in_shards(&self, plan: &RequestPlan) -> Option<Choice> {
         let request = self.choice_request(plan);
         let now = self.shared.clock.now();
-        let shards = self.shared.knowledge.lock().unwrap().shards_for(&request, now);
+        let shards = self.shared.gateway_state.lock().unwrap().shards_for(&request, now);
         let mut best: Option<Choice> = None;
         for shard in shards {
             let choice = match self.choose_in_shard(plan, shard).await {
@@ -77,7 +77,7 @@
                 // The timeouts have used up the time for further requests.
                 Err(NoCoordinator) => break,
             };
-            if !self.shared.knowledge.lock().unwrap().is_overloaded(&choice, &request) {
+            if !self.shared.gateway_state.lock().unwrap().is_overloaded(&choice, &request) {
                 return Some(choice);
             }
             if best.as_ref().is_none_or(|best| choice.estimate_ms < best.estimate_ms) {
@@ -98,12 +98,12 @@
         let service = &self.admission.service;
         let now = self.shared.clock.now();
         let coordinators =
-            self.shared.knowledge.lock().unwrap().gateways().coordinators(service, shard, now);
+            self.shared.gateway_state.lock().unwrap().gateways().coordinators(service, shard, now);
         for coordinator in coordinators {
             {
-                let mut knowledge = self.shared.knowledge.lock().unwrap();
-                if knowledge.gateways().is_own(coordinator) {
-                    return Ok(knowledge.choose_in_shard(&request, Some(shard), now));
+                let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+                if gateway_state.gateways().is_own(coordinator) {
+                    return Ok(gateway_state.choose_in_shard(&request, Some(shard), now));
                 }
             }
             if let Some(choice) = self.request_placement(plan, shard, coordinator).await {
@@ -124,15 +124,15 @@
         let request = self.choice_request(plan);
         let now = self.shared.clock.now();
         let placement_request =
-            self.shared.knowledge.lock().unwrap().placement_request(&request, shard, now)?;
+            self.shared.gateway_state.lock().unwrap().placement_request(&request, shard, now)?;
         let timeout = COORDINATOR_TIMEOUT.min(self.remaining_time());
         let response =
             self.shared.peers.request_placement(coordinator, placement_request, timeout).await;
         let now = self.shared.clock.now();
-        let mut knowledge = self.shared.knowledge.lock().unwrap();
+        let mut gateway_state = self.shared.gateway_state.lock().unwrap();
         let Some(offer) = response else {
-            knowledge.gateways().on_timeout(coordinator, now);
-            drop(knowledge);
+            gateway_state.gateways().on_timeout(coordinator, now);
+            drop(gateway_state);
             self.shared.metrics.count_event("coordinator_silent");
             log::info!(
                 "gateway: event=coordinator_silent coordinator={coordinator} request={}",
@@ -140,7 +140,7 @@
             );
             return None;
         };
-        knowledge.gateways().on_response();
-        Some(offer.and_then(|offer| knowledge.accept_offer(&offer, &request, now)))
+        gateway_state.gateways().on_response();
+        Some(offer.and_then(|offer| gateway_state.accept_offer(&offer, &request, now)))
     }
 }
--- a/crates/topazmount/src/fleet/exchange/connection.rs
+++ b/crates/topazmount/src/fleet/exchange/connection.rs
@@ -16,8 +16,8 @@
         let now = self.shared.clock.now();
         let service = &self.admission.service;
         let may_use = |idle| {
-            let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.connections().may_reuse(service, idle, plan.is_retryable(), now)
+            let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+            gateway_state.connections().may_reuse(service, idle, plan.is_retryable(), now)
         };
         let incarnation = choice.instance.incarnation_name();
         let taken = self.shared.pool.take(&incarnation, now, may_use).await;
@@ -32,16 +32,16 @@
         let service = &self.admission.service;
         let now = self.shared.clock.now();
         let limits = {
-            let mut knowledge = self.shared.knowledge.lock().unwrap();
+            let mut gateway_state = self.shared.gateway_state.lock().unwrap();
             // No more requests go to an incarnation that has ended or is leaving.
-            let balancer = knowledge.balancer();
+            let balancer = gateway_state.balancer();
             let is_gone = balancer.has_ended(choice) || balancer.is_leaving(choice, now);
             let end = keep_alive.response_end(&wire, is_request_sent);
-            if is_gone || !knowledge.connections().may_pool(end) {
+            if is_gone || !gateway_state.connections().may_pool(end) {
                 return;
             }
-            let max_idle = knowledge.connections().max_idle(service, true, now);
-            PoolLimits { max_connections: knowledge.max_pooled_connections(service), max_idle }
+            let max_idle = gateway_state.connections().max_idle(service, true, now);
+            PoolLimits { max_connections: gateway_state.max_pooled_connections(service), max_idle }
         };
         self.shared.pool.put(&choice.instance.incarnation_name(), wire, keep_alive, limits, now);
     }
@@ -50,7 +50,12 @@
     pub(super) fn record_stale_connection(&self, choice: &Choice, idle: Duration) {
         let now = self.shared.clock.now();
         let service = &self.admission.service;
-        self.shared.knowledge.lock().unwrap().connections().on_stale_connection(service, idle, now);
+        self.shared
+            .gateway_state
+            .lock()
+            .unwrap()
+            .connections()
+            .on_stale_connection(service, idle, now);
         self.shared.metrics.count_event("connection_forgotten");
         self.shared.event_log.info(|| {
             format!(
--- a/crates/topazmount/src/fleet/exchange/crash.rs
+++ b/crates/topazmount/src/fleet/exchange/crash.rs
@@ -9,7 +9,7 @@
     /// Whether the request is blocked because it crashes replicas.
     pub(super) fn is_blocked(&self) -> bool {
         let now = self.shared.clock.now();
-        self.shared.knowledge.lock().unwrap().crashes().is_blocked(self.digest, now)
+        self.shared.gateway_state.lock().unwrap().crashes().is_blocked(self.digest, now)
     }
 
     /// Called after a connection broke while the replica served the request: records the suspicion and
@@ -20,15 +20,15 @@
         let instance = &choice.instance.id;
         let name = choice.instance.incarnation_name();
         let crashed = {
-            let mut knowledge = self.shared.knowledge.lock().unwrap();
+            let mut gateway_state = self.shared.gateway_state.lock().unwrap();
             // A leaving replica ends as planned; the request did not crash it.
-            if knowledge.balancer().is_leaving(choice, now) {
+            if gateway_state.balancer().is_leaving(choice, now) {
                 return;
             }
-            knowledge.crashes().on_connection_broken(self.digest, &name, ran_for, now);
+            gateway_state.crashes().on_connection_broken(self.digest, &name, ran_for, now);
             // The next incarnation may have been seen already.
-            let has_ended = knowledge.balancer().has_ended(choice);
-            if has_ended { knowledge.crashes().on_replica_ended(&name, now) } else { 0 }
+            let has_ended = gateway_state.balancer().has_ended(choice);
+            if has_ended { gateway_state.crashes().on_replica_ended(&name, now) } else { 0 }
         };
         self.shared.event_log.info(|| {
             format!(
--- a/crates/topazmount/src/fleet/exchange/mod.rs
+++ b/crates/topazmount/src/fleet/exchange/mod.rs
@@ -158,9 +158,9 @@
         };
         let now = self.shared.clock.now();
         let update = {
-            let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().on_ended(&self.choice, has_first_token);
-            knowledge.end_update(&self.choice, event, now)
+            let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+            gateway_state.balancer().on_ended(&self.choice, has_first_token);
+            gateway_state.end_update(&self.choice, event, now)
         };
         self.shared.peers.send_load_update(update);
     }
@@ -229,7 +229,7 @@
         };
         let now = self.shared.clock.now();
         let service = self.admission.service.clone();
-        self.shared.knowledge.lock().unwrap().record_request(&service, now);
+        self.shared.gateway_state.lock().unwrap().record_request(&service, now);
         if !self.is_admitted_by_policy(&plan) {
             return self.fail(&plan, &progress, ErrorKind::RefusedByPolicy).await;
         }
@@ -337,7 +337,7 @@
     fn is_admitted_by_policy(&self, plan: &RequestPlan) -> bool {
         let request = self.choice_request(plan);
         let has_prompt = request.prompt.is_some();
-        !has_prompt || self.shared.knowledge.lock().unwrap().is_admitted_by_policy(&request)
+        !has_prompt || self.shared.gateway_state.lock().unwrap().is_admitted_by_policy(&request)
     }
 
     /// Ends an attempt. Returns the error to respond with, or `None` if another attempt follows.
@@ -363,7 +363,7 @@
     /// Takes one retry from the service's retry budget, if there is one left.
     fn take_retry(&self) -> bool {
         let now = self.shared.clock.now();
-        self.shared.knowledge.lock().unwrap().try_retry(&self.admission.service, now)
+        self.shared.gateway_state.lock().unwrap().try_retry(&self.admission.service, now)
     }
 }
 
--- a/crates/topazmount/src/fleet/exchange/pushback.rs
+++ b/crates/topazmount/src/fleet/exchange/pushback.rs
@@ -27,8 +27,8 @@
         }
         let now = self.shared.clock.now();
         let change = {
-            let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().record_pushback(choice, pushback, now)
+            let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+            gateway_state.balancer().record_pushback(choice, pushback, now)
         };
         if let Some(change) = change {
             self.shared.metrics.add_backoff(&self.admission.service, change.added);
@@ -62,10 +62,10 @@
 
     /// Sends a changed limit to other gateways.
     fn send_limit_update(&self, choice: &Choice, now: Time) {
-        let mut knowledge = self.shared.knowledge.lock().unwrap();
-        let Some(update) = knowledge.limit_update(choice, now) else { return };
-        let recipients = knowledge.limit_update_recipients(update.replica, now);
-        drop(knowledge);
+        let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+        let Some(update) = gateway_state.limit_update(choice, now) else { return };
+        let recipients = gateway_state.limit_update_recipients(update.replica, now);
+        drop(gateway_state);
         self.shared.peers.send_limit_update(recipients, update);
     }
 
@@ -86,8 +86,8 @@
         let sent_at = if is_earlier_request { Time::ZERO } else { sent_at };
         let now = self.shared.clock.now();
         let change = {
-            let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().record_limit(choice, limit, sent_at, now)
+            let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+            gateway_state.balancer().record_limit(choice, limit, sent_at, now)
         };
         let Some(change) = change else { return };
         self.send_limit_update(choice, now);
--- a/crates/topazmount/src/fleet/exchange/record.rs
+++ b/crates/topazmount/src/fleet/exchange/record.rs
@@ -1,4 +1,4 @@
-//! Records the results of attempts in the gateway's knowledge, the log and the metrics.
+//! Records the results of attempts in the gateway's state, the log and the metrics.
 
 use super::super::crash_watch;
 use super::pushback::per_second;
@@ -23,8 +23,8 @@
         // A misdirected request may have been refused by another replica; handled separately.
         let version = metadata.weights_version.filter(|_| !metadata.is_misdirected);
         if let (Some(model), Some(version)) = (&self.metadata.model, version) {
-            let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().record_version(choice, model, version);
+            let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+            gateway_state.balancer().record_version(choice, model, version);
         }
     }
 
@@ -32,10 +32,10 @@
     pub(super) fn record_success(&self, choice: &Choice, sent_at: Time) {
         let now = self.shared.clock.now();
         let was_suspected = {
-            let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().on_success(choice, now);
-            knowledge.crashes().clear_suspicion(&choice.instance.incarnation_name(), sent_at);
-            knowledge.crashes().record_completion(self.digest, now)
+            let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+            gateway_state.balancer().on_success(choice, now);
+            gateway_state.crashes().clear_suspicion(&choice.instance.incarnation_name(), sent_at);
+            gateway_state.crashes().record_completion(self.digest, now)
         };
         if was_suspected {
             self.shared.request_report();
@@ -60,8 +60,8 @@
     /// since `sent_at`. Returns whether it has failed.
     pub(super) fn record_silence(&self, choice: &Choice, sent_at: Time) -> bool {
         let now = self.shared.clock.now();
-        let mut knowledge = self.shared.knowledge.lock().unwrap();
-        let balancer = knowledge.balancer();
+        let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+        let balancer = gateway_state.balancer();
         let has_failed = !balancer.has_responded_since(choice, sent_at);
         if has_failed {
             balancer.on_failure(choice, now);
@@ -72,15 +72,16 @@
     pub(super) fn record_failure(&self, in_flight: &InFlight<'_>, end: AttemptEnd) {
         let choice = &in_flight.choice;
         let now = self.shared.clock.now();
-        let mut knowledge = self.shared.knowledge.lock().unwrap();
-        let balancer = knowledge.balancer();
+        let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+        let balancer = gateway_state.balancer();
         match end {
             AttemptEnd::WrongInstance => {
                 balancer.on_address_reused(choice, now);
                 // Another replica has its address, so connections that broke earlier were crashes.
-                let requests =
-                    knowledge.crashes().on_replica_ended(&choice.instance.incarnation_name(), now);
-                drop(knowledge);
+                let requests = gateway_state
+                    .crashes()
+                    .on_replica_ended(&choice.instance.incarnation_name(), now);
+                drop(gateway_state);
                 if requests > 0 {
                     crash_watch::report_crash(
                         self.shared,
@@ -118,9 +119,9 @@
         self.shared.metrics.record_first_event(now.since(self.received_at));
         let request = self.choice_request(plan);
         let update = {
-            let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.on_first_token(choice, &request, now.since(sent_at), now);
-            knowledge.load_update(choice, &request, PromptEvent::Prefilled, now)
+            let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+            gateway_state.on_first_token(choice, &request, now.since(sent_at), now);
+            gateway_state.load_update(choice, &request, PromptEvent::Prefilled, now)
         };
         self.shared.peers.send_load_update(update);
     }
@@ -157,8 +158,8 @@
         let model = self.metadata.model.as_deref().unwrap_or_default();
         let now = self.shared.clock.now();
         let refused = {
-            let mut knowledge = self.shared.knowledge.lock().unwrap();
-            knowledge.balancer().on_version_refused(choice, model, reported, now)
+            let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+            gateway_state.balancer().on_version_refused(choice, model, reported, now)
         };
         match refused {
             VersionRefusal::RetrySame => AttemptEnd::VersionMismatch,
--- a/crates/topazmount/src/fleet/gateway.rs
+++ b/crates/topazmount/src/fleet/gateway.rs
@@ -46,7 +46,7 @@
 pub(super) struct SharedState {
     pub(super) clock: Clock,
     pub(super) dialect: Arc<dyn Dialect>,
-    pub(super) knowledge: Mutex<GatewayState>,
+    pub(super) gateway_state: Mutex<GatewayState>,
     pub(super) event_log: RateLimitedLog,
     pub(super) metrics: Metrics,
     pub(super) peers: Arc<Peers>,
@@ -82,17 +82,17 @@
         let key = ClusterKey::from_text(&settings.cluster_key);
         let peers = Peers::bind(clients, settings.peer_port, key.clone()).await;
         let peers = Arc::new(peers.wrap_err("binding the socket for messages between gateways")?);
-        let mut knowledge =
+        let mut gateway_state =
             GatewayState::new(&settings.zone, settings.gateway_settings(), rand::random());
-        settings.load_policies(knowledge.policies())?;
-        knowledge.set_own_address(peers.own_address());
+        settings.load_policies(gateway_state.policies())?;
+        gateway_state.set_own_address(peers.own_address());
         let (report_sender, report_requests) = async_channel::bounded(1);
         let (broken_connections, broken_receiver) =
             async_channel::bounded(crash_watch::MAX_PENDING);
         let shared = Arc::new(SharedState {
             clock,
             dialect,
-            knowledge: Mutex::new(knowledge),
+            gateway_state: Mutex::new(gateway_state),
             event_log: RateLimitedLog::default(),
             metrics: Metrics::default(),
             peers: peers.clone(),
@@ -137,12 +137,12 @@
 
     /// Applies changed settings. Addresses and names only change at the next start.
     pub fn reload(&self, settings: &FleetSettings) {
-        let mut knowledge = self.shared.knowledge.lock().unwrap();
-        if let Err(error) = settings.load_policies(knowledge.policies()) {
+        let mut gateway_state = self.shared.gateway_state.lock().unwrap();
+        if let Err(error) = settings.load_policies(gateway_state.policies()) {
             log::error!("gateway: event=reload_refused problem={error:#}");
             return;
         }
-        knowledge.set_settings(settings.gateway_settings());
+        gateway_state.set_settings(settings.gateway_settings());
         self.seeds.set(settings.seed_peer_addresses());
         log::info!("gateway: event=reload policies={}", settings.policies.len());
     }
@@ -185,21 +185,21 @@
         let is_ready = self.is_ready();
         let open = self.open_requests.load(Ordering::SeqCst);
         {
-            let mut knowledge = self.knowledge.lock().unwrap();
-            let seen = knowledge.seen_versions();
+            let mut gateway_state = self.gateway_state.lock().unwrap();
+            let seen = gateway_state.seen_versions();
             self.metrics.set_gauge("configuration_version", seen.document as i64);
             self.metrics.set_gauge("registry_revision", seen.revision as i64);
-            for (name, counters) in knowledge.policies().report() {
+            for (name, counters) in gateway_state.policies().report() {
                 self.metrics.set_policy_counters(name, counters);
             }
-            let blocked = knowledge.crashes().blocked_count();
+            let blocked = gateway_state.crashes().blocked_count();
             self.metrics.set_gauge("blocked_requests", blocked as i64);
-            let (in_backoff, leaving) = knowledge.balancer().pushback_counts(self.clock.now());
+            let (in_backoff, leaving) = gateway_state.balancer().pushback_counts(self.clock.now());
             self.metrics.set_gauge("resting_replicas", in_backoff as i64);
             self.metrics.set_gauge("leaving_replicas", leaving as i64);
-            let limited = knowledge.balancer().limited_count();
+            let limited = gateway_state.balancer().limited_count();
             self.metrics.set_gauge("limited_replicas", limited as i64);
-            self.metrics.set_gauge("replicas", knowledge.balancer().instances().count() as i64);
+            self.metrics.set_gauge("replicas", gateway_state.balancer().instances().count() as i64);
         }
         self.metrics.set_gauge("ready", i64::from(is_ready));
         self.metrics.set_gauge("open_requests", open as i64);
@@ -209,14 +209,14 @@
 
     fn is_ready(&self) -> bool {
         let now = self.clock.now();
-        !self.is_stopping() && self.knowledge.lock().unwrap().is_confirmed(now)
+        !self.is_stopping() && self.gateway_state.lock().unwrap().is_confirmed(now)
     }
 
     /// Limits on clients' requests, from the current catalog.
     pub(super) fn read_limits(&self) -> ReadLimits {
-        let knowledge = self.knowledge.lock().unwrap();
+        let gateway_state = self.gateway_state.lock().unwrap();
         let limits =
-            knowledge.catalog().map_or_else(HttpLimits::default, |catalog| catalog.limits());
+            gateway_state.catalog().map_or_else(HttpLimits::default, |catalog| catalog.limits());
         ReadLimits {
             max_head_bytes: limits.max_header_bytes,
             max_body_bytes: limits.max_body_bytes,
@@ -229,7 +229,7 @@
     /// Retry delay for a refused client.
     pub(super) fn retry_after(&self, kind: ErrorKind) -> Option<Duration> {
         kind.retry_after().filter(|_| kind.status() == 503)?;
-        Some(self.knowledge.lock().unwrap().retry_after(kind, self.clock.now()))
+        Some(self.gateway_state.lock().unwrap().retry_after(kind, self.clock.now()))
     }
 }
 
@@ -258,7 +258,7 @@
     fn send_limits_to_new_gateways(&self) {
         let now = self.shared.clock.now();
         let (new_gateways, limits) =
-            self.shared.knowledge.lock().unwrap().limit_updates_for_new_gateways(now);
+            self.shared.gateway_state.lock().unwrap().limit_updates_for_new_gateways(now);
         for update in limits {
             self.shared.peers.send_limit_update(new_gateways.clone(), update);
         }
@@ -269,12 +269,12 @@
     fn watch_state(&mut self) -> (SeenVersions, Option<GatewayReport>) {
         let is_ready = self.shared.is_ready();
         let report = GatewayReport { is_ready, ..self.report.clone() };
-        (self.shared.knowledge.lock().unwrap().seen_versions(), Some(report))
+        (self.shared.gateway_state.lock().unwrap().seen_versions(), Some(report))
     }
 
     fn crash_notes(&mut self) -> CrashReport {
         let now = self.shared.clock.now();
-        self.shared.knowledge.lock().unwrap().crashes().notes(now)
+        self.shared.gateway_state.lock().unwrap().crashes().report(now)
     }
 
     fn on_view(&mut self, view: FleetView, requested_at: Time) {
@@ -310,12 +310,12 @@
             );
         }
         let (crashed, (blocked, released), changes) = {
-            let mut knowledge = self.shared.knowledge.lock().unwrap();
+            let mut gateway_state = self.shared.gateway_state.lock().unwrap();
             let now = self.shared.clock.now();
-            let crashed = knowledge.confirm_crashes(&view, now);
-            let changes = knowledge.apply(&view, catalog, requested_at);
-            knowledge.confirm_grants(&view, requested_at, now);
-            (crashed, knowledge.apply_blocked(&view, now), changes)
+            let crashed = gateway_state.confirm_crashes(&view, now);
+            let changes = gateway_state.apply(&view, catalog, requested_at);
+            gateway_state.confirm_grants(&view, requested_at, now);
+            (crashed, gateway_state.apply_blocked(&view, now), changes)
         };
         self.send_limits_to_new_gateways();
         changes.iter().for_each(|change| self.shared.handle_change(change, "status"));
--- a/crates/topazmount/src/fleet/peers.rs
+++ b/crates/topazmount/src/fleet/peers.rs
@@ -242,18 +242,18 @@
         let now = shared.clock.now();
         match message {
             Some(GatewayMessage::LoadUpdate(update)) => {
-                shared.knowledge.lock().unwrap().balancer().apply_load_update(&update, now);
+                shared.gateway_state.lock().unwrap().balancer().apply_load_update(&update, now);
             }
             Some(GatewayMessage::PlacementRequest(request_id, request)) => {
                 shared.metrics.count_event("question_answered");
-                let offer = shared.knowledge.lock().unwrap().place(&request, now);
+                let offer = shared.gateway_state.lock().unwrap().place(&request, now);
                 peers.send(vec![sender], GatewayMessage::PlacementResponse(request_id, offer));
             }
             Some(GatewayMessage::PlacementResponse(request_id, offer)) => {
                 peers.complete(request_id, Response::Placement(offer))
             }
             Some(GatewayMessage::GrantRequest(request_id, stripe, amount)) => {
-                let response = shared.knowledge.lock().unwrap().grant(stripe, amount, now);
+                let response = shared.gateway_state.lock().unwrap().grant(stripe, amount, now);
                 shared.metrics.count_event(grant_event(response));
                 peers.send(vec![sender], GatewayMessage::GrantResponse(request_id, response));
             }
@@ -261,14 +261,14 @@
                 peers.complete(request_id, Response::Grant(response));
             }
             Some(GatewayMessage::UnitsReturned(stripe, amount)) => {
-                shared.knowledge.lock().unwrap().return_units(stripe, amount, now);
+                shared.gateway_state.lock().unwrap().return_units(stripe, amount, now);
             }
             Some(GatewayMessage::LimitUpdate(update)) => {
-                let to = shared.knowledge.lock().unwrap().apply_limit_update(&update, now);
+                let to = shared.gateway_state.lock().unwrap().apply_limit_update(&update, now);
                 peers.send_limit_update(to, update);
             }
             Some(GatewayMessage::SendGrantRequest(request_id, update)) => {
-                let response = shared.knowledge.lock().unwrap().grant_send(&update, now);
+                let response = shared.gateway_state.lock().unwrap().grant_send(&update, now);
                 shared.metrics.count_event(send_grant_event(response));
                 peers.send(vec![sender], GatewayMessage::GrantResponse(request_id, response));
             }
